--- a/dunefield/adapter.py
+++ b/dunefield/adapter.py
@@ -10,30 +10,30 @@
 from typing import TextIO
 
 from dunefield.interface import (
-    Accept,
     Action,
-    Alarm,
-    Begun,
-    CloseIdle,
-    Defer,
-    Directory,
-    Echo,
-    Entry,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Event,
-    Fail,
-    Fetch,
-    Hangup,
-    Heard,
-    Note,
-    Probe,
-    Refuse,
-    Response,
-    Retract,
+    FailRequest,
+    FetchServerList,
+    LogMessage,
+    PeerMessage,
+    ProbeResult,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    ResponseStarted,
+    SendAttempt,
+    SendPeerMessage,
+    ServerEntry,
+    ServerListUpdate,
     Settings,
     SettingsError,
-    Submit,
-    Subscribe,
-    Tell,
+    StartTimer,
+    SubscribeServerList,
+    TimerFired,
 )
 from dunefield.rules import Balancer
 
@@ -114,9 +114,9 @@
         raise WireError(f"field {name!r} is not hex digits: {text!r}") from None
 
 
-def _accept(f: Fields) -> Accept:
+def _accept(f: Fields) -> RequestArrived:
     bits = _int(f, "bitmap", 0)
-    return Accept(
+    return RequestArrived(
         _text(f, "tid"),
         _int(f, "type", 0),
         _int(f, "ttlNs"),
@@ -128,8 +128,8 @@
     )
 
 
-def _response(f: Fields) -> Response:
-    return Response(
+def _response(f: Fields) -> AttemptFinished:
+    return AttemptFinished(
         _text(f, "tid"),
         _int(f, "how"),
         _int(f, "lagNs", 0),
@@ -143,16 +143,18 @@
 READERS: dict[str, Callable[[Fields], Event]] = {
     "accept": _accept,
     "response": _response,
-    "begun": lambda f: Begun(_text(f, "tid"), f.get("server", ""), _int(f, "go", 0), _int(f, "lagNs", 0)),
-    "hangup": lambda f: Hangup(_text(f, "tid")),
-    "alarm": lambda f: Alarm(_int(f, "tag", 0)),
-    "echo": lambda f: Echo(_text(f, "server"), _int(f, "how"), _int(f, "lagNs", 0), _usage(f)),
-    "heard": lambda f: Heard(_int(f, "from"), _bytes(f, "blob")),
+    "begun": lambda f: ResponseStarted(
+        _text(f, "tid"), f.get("server", ""), _int(f, "go", 0), _int(f, "lagNs", 0)
+    ),
+    "hangup": lambda f: ClientDisconnected(_text(f, "tid")),
+    "alarm": lambda f: TimerFired(_int(f, "tag", 0)),
+    "echo": lambda f: ProbeResult(_text(f, "server"), _int(f, "how"), _int(f, "lagNs", 0), _usage(f)),
+    "heard": lambda f: PeerMessage(_int(f, "from"), _bytes(f, "blob")),
 }
 
 
-def _entry(f: Fields) -> Entry:
-    return Entry(
+def _entry(f: Fields) -> ServerEntry:
+    return ServerEntry(
         _text(f, "server"),
         _int(f, "hall", 0),
         _int(f, "model", 0),
@@ -165,28 +167,28 @@
 
 def _write(who: int, action: Action) -> str:
     match action:
-        case Submit(tid, server, abandon_ns):
-            return f"submit_to who={who} tid={tid} server={server} abandonAtNs={abandon_ns}\n"
-        case Refuse(tid, hold_off_ns):
-            return f"push_back who={who} tid={tid} holdOffNs={hold_off_ns}\n"
-        case Fail(tid):
-            return f"finish_error who={who} tid={tid}\n"
-        case Retract(tid, attempt):
-            return f"retract who={who} tid={tid} go={attempt}\n"
-        case Probe(server):
+        case SendAttempt(request_id, server, deadline_ns):
+            return f"submit_to who={who} tid={request_id} server={server} abandonAtNs={deadline_ns}\n"
+        case RefuseRequest(request_id, retry_after_ns):
+            return f"push_back who={who} tid={request_id} holdOffNs={retry_after_ns}\n"
+        case FailRequest(request_id):
+            return f"finish_error who={who} tid={request_id}\n"
+        case CancelAttempt(request_id, attempt):
+            return f"retract who={who} tid={request_id} go={attempt}\n"
+        case ProbeServer(server):
             return f"touch who={who} server={server}\n"
-        case Subscribe(want):
+        case SubscribeServerList(want):
             return f"subscribe who={who} want={int(want)}\n"
-        case Fetch():
+        case FetchServerList():
             return f"fetch who={who}\n"
-        case CloseIdle(server):
+        case CloseIdleConnections(server):
             return f"hang_up who={who} server={server}\n"
-        case Tell(peer, data):
+        case SendPeerMessage(peer, data):
             return f"signal who={who} to={peer} blob={data.hex() or '-'}\n"
-        case Note(text):
+        case LogMessage(text):
             return f"note_down who={who} line={' '.join(text.split())}\n"
-        case Defer(in_ns, tag):
-            return f"defer who={who} inNs={in_ns} tag={tag}\n"
+        case StartTimer(delay_ns, tag):
+            return f"defer who={who} inNs={delay_ns} tag={tag}\n"
 
 
 class Host:
@@ -197,7 +199,7 @@
         self._sink = sink
         self._line_no = 0
         self._now = 0
-        self._rosters: dict[int, tuple[Entry, ...]] = {}
+        self._rosters: dict[int, tuple[ServerEntry, ...]] = {}
         self._instances: dict[int, Balancer] = {}
 
     def run(self) -> int:
@@ -253,7 +255,7 @@
         elif name == "crash_now":
             self._instances.pop(_int(_fields(line), "who"), None)
 
-    def _read_roster(self, count: int) -> tuple[Entry, ...]:
+    def _read_roster(self, count: int) -> tuple[ServerEntry, ...]:
         if count < 0:
             raise WireError(f"field 'nodesList' is below 0: {count}")
         entries = []
@@ -265,17 +267,17 @@
             entries.append(_entry(_fields(line)))
         return tuple(entries)
 
-    def _directory(self, fields: Fields) -> Directory:
+    def _directory(self, fields: Fields) -> ServerListUpdate:
         scope = _text(fields, "scope")
         gen = _int(fields, "gen", 0)
         if scope == "FAILED":
-            return Directory(scope, (), gen)
+            return ServerListUpdate(scope, (), gen)
         if scope not in SCOPES:
             raise WireError(f"field 'scope' is none of {', '.join(SCOPES)}: {scope!r}")
         slot = _int(fields, "slot")
         if slot not in self._rosters:
             raise WireError(f"no roster has slot {slot}")
-        return Directory(scope, self._rosters[slot], gen)
+        return ServerListUpdate(scope, self._rosters[slot], gen)
 
     def _open(self, fields: Fields, out: list[str]) -> None:
         who = _int(fields, "who")
--- a/dunefield/asking.py
+++ b/dunefield/asking.py
@@ -7,7 +7,7 @@
 from dunefield.book import PROBES, UNMUTED, Book
 from dunefield.crowding import Crowding
 from dunefield.hold import Hold
-from dunefield.interface import Echo, How, Probe
+from dunefield.interface import AttemptOutcome, ProbeResult, ProbeServer
 from dunefield.pick import Pick
 from dunefield.promises import Promises
 from dunefield.speeds import Speeds
@@ -42,7 +42,7 @@
                 continue
             call.pending += 1
             if not server.askers:  # else the probe that is out will tell this call, too
-                self._book.acts.append(Probe(server.name))
+                self._book.acts.append(ProbeServer(server.name))
             server.askers.append(call)
         self._hold.keep(now, call)  # an echo may come too late, or never
 
@@ -51,7 +51,7 @@
         unanswered, which no probe tells."""
         return now < max(server.mute_until, server.mute.get(call.number, UNMUTED)[0])
 
-    def echo(self, now: int, event: Echo) -> None:
+    def echo(self, now: int, event: ProbeResult) -> None:
         """A probe is back."""
         book, trust = self._book, self._trust
         server = book.servers.get(event.server)
@@ -62,23 +62,23 @@
             if trust.asked(now, server, event):
                 self.pump(now)
             return
-        if event.how == How.OK:
+        if event.outcome == AttemptOutcome.OK:
             server.heard = now
             # A server that answers without a report is taken for busy, as its machine may be: never for idle.
             server.load = event.load.get("inflight", event.load.get("queue", max(server.load, UNTOLD)))
-        elif event.how == How.ERROR or (
-            event.how in (How.TIMEOUT, How.CONNECT_FAILED) and trust.struck(now, server, now - event.lag_ns)
-        ):
+        elif event.outcome == AttemptOutcome.ERROR or (
+            event.outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED)
+            and trust.struck(now, server, now - event.latency_ns)):
             server.mute_until = now + book.horizon  # draining, down, cut off or standing still: ask others
         # All else tells of the probe, not of the server: its connection was old, its answer unreadable, or
         # this sidecar had no descriptor for it.
         for call in askers:
-            if not call.pending or call.tid not in book.calls:
+            if not call.pending or call.request_id not in book.calls:
                 continue
             call.pending -= 1
-            if event.how == How.OK:
+            if event.outcome == AttemptOutcome.OK:
                 call.queue = min(call.queue, event.load.get("queue", call.queue))
-            if event.how == How.OK and trust.fits(now, server):
+            if event.outcome == AttemptOutcome.OK and trust.fits(now, server):
                 best = call.best
                 wait = (server.load + 1.0) * self._speeds.speed(now, server)
                 if best is None or wait < call.best_wait:
--- a/dunefield/book.py
+++ b/dunefield/book.py
@@ -4,7 +4,7 @@
 
 import random
 
-from dunefield.interface import IDLE_SHARE, Action, RequestClass, Settings
+from dunefield.interface import IDLE_TIMEOUT_FRACTION, Action, RequestClass, Settings
 from dunefield.state import Attempt, Call, Server
 
 UNMUTED = (0, 0)  # what stands for a class that was not left unanswered
@@ -30,8 +30,8 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.horizon = max(c.deadline_ns for c in settings.classes)
         self.classes = (*settings.classes, RequestClass("", self.horizon, self.horizon))
-        self.pace = max(1, min(c.aim_ns for c in self.classes) // 16)  # how often held calls are looked at
-        self.kept = int(IDLE_SHARE * settings.limits.conn_idle_ns)  # after more the carrier has retired it
+        self.pace = max(1, min(c.target_ns for c in self.classes) // 16)  # how often held calls are looked at
+        self.kept = int(IDLE_TIMEOUT_FRACTION * settings.limits.connection_idle_ns)  # then it is retired
         dear = PROBES * settings.prices.get("probe", 0.0) > PROBE_SPEND
         self.probing = settings.reports != "none" and settings.limits.may_probe and not dear
         # Goes by its own calls, and may ask only now and then: a server that failed, before it is used again.
@@ -39,11 +39,11 @@
         # Draws go over all servers where probes tell of each of them, else over a few that are known well.
         self.narrow = not self.probing or settings.prices.get("connection", 0.0) > 0
 
-    def drop(self, tid: str) -> None:
+    def drop(self, request_id: str) -> None:
         """No answer is owed any more."""
-        self.calls.pop(tid, None)
-        self.held.pop(tid, None)
-        self.growing.discard(tid)
+        self.calls.pop(request_id, None)
+        self.held.pop(request_id, None)
+        self.growing.discard(request_id)
 
     def refresh(self, server: Server) -> None:
         """Keep the list of servers under budget true after any change to a server."""
--- a/dunefield/crowding.py
+++ b/dunefield/crowding.py
@@ -27,7 +27,7 @@
     def __init__(self, classes: Sequence[RequestClass], horizon: int, now: int) -> None:
         self._horizon = horizon
         self._share = [1.0 / len(classes)] * len(classes)  # of each class in the requests of late
-        self._cheapest = sorted(range(len(classes)), key=lambda i: (classes[i].worth, i))
+        self._cheapest = sorted(range(len(classes)), key=lambda i: (classes[i].value, i))
         self._at = now
         self._long = 0.25  # part of their aim that own answers take
         self._late = 0.0  # share of late ones in own answers
--- a/dunefield/hold.py
+++ b/dunefield/hold.py
@@ -5,7 +5,7 @@
 from dunefield.book import Book
 from dunefield.crowding import Crowding
 from dunefield.demand import Demand
-from dunefield.interface import Defer
+from dunefield.interface import StartTimer
 from dunefield.pick import Pick
 from dunefield.promises import Promises
 from dunefield.speeds import Speeds
@@ -25,7 +25,7 @@
         self._promises, self._pick = promises, pick
         self._pace, self._probing, self._random = book.pace, book.probing, book.random
         self._tail = 2 * book.settings.period_ns  # before a client's time is up: the last moment to answer
-        self._mean_worth = sum(c.worth for c in book.settings.classes) / len(book.settings.classes)
+        self._mean_worth = sum(c.value for c in book.settings.classes) / len(book.settings.classes)
         self._armed = False  # a tick for the held calls is due
 
     def shed(self, now: int, number: int, size: float) -> bool:
@@ -34,13 +34,13 @@
         book = self._book
         flow = (self._demand.served + self._demand.rate) / 2 * size
         # Bodies that still come are no work: a few slow ones would pass for a jam.
-        growing = sum(1 for tid in book.growing if book.calls[tid].out) if book.growing else 0
+        growing = sum(1 for request_id in book.growing if book.calls[request_id].out) if book.growing else 0
         return self._crowding.sheds(now, number, len(book.attempts) - growing, flow, self._random())
 
     def give_up(self, call: Call) -> int:
         """When holding a call further earns nothing; always before its client's time is up."""
         last = call.deadline - self._tail
-        if call.cls.late_worth > 0:
+        if call.cls.late_value > 0:
             return last
         return min(last, call.aim_at - int(call.size * self._speeds.stretch / 2))
 
@@ -50,12 +50,12 @@
         ratio = expect / max(1, call.aim_at - now)
         level, hopeful = self._crowding.level, HOPEFUL
         if not self._probing:
-            part = call.cls.worth / self._mean_worth
+            part = call.cls.value / self._mean_worth
             # Slow answers tell of a loss of servers at once, late ones of the load over some seconds.
             level = max(level, self._crowding.harm(part))
             level, hopeful = (0.0, DEAR) if part > 1.0 else (level, HOPEFUL)
         doubt = min(0.9, (ratio - hopeful + level) * 1.5)
-        return self._random() < doubt * (1.0 - call.cls.late_worth)
+        return self._random() < doubt * (1.0 - call.cls.late_value)
 
     def go(self, now: int, call: Call) -> bool:
         """Send the call or end it; False if it has to wait."""
@@ -72,22 +72,22 @@
             return False
         hopeless = not trial and self._hopeless(now, call, expect)
         if hopeless or not self._promises.send(now, call, server, trial):
-            self._promises.end(call, call.cls.aim_ns // 8)
+            self._promises.end(call, call.cls.target_ns // 8)
         return True
 
     def keep(self, now: int, call: Call) -> None:
         """Let a call wait, behind those that do; one that has no time left to wait is ended."""
         if now + self._pace >= call.give_up:
-            self._promises.end(call, call.cls.aim_ns // 8)
+            self._promises.end(call, call.cls.target_ns // 8)
             return
-        self._book.held[call.tid] = call
+        self._book.held[call.request_id] = call
         self.arm()
 
     def arm(self) -> None:
         """While calls wait, a tick is due."""
         if self._book.held and not self._armed:
             self._armed = True
-            self._book.acts.append(Defer(self._pace, TICK))
+            self._book.acts.append(StartTimer(self._pace, TICK))
 
     def pump(self, now: int, ticked: bool) -> list[Call]:
         """Let held calls go in order, end those out of time; return those to ask for again, then `arm`."""
@@ -95,7 +95,7 @@
         if ticked:
             self._armed = False
             for call in [c for c in held.values() if now + self._pace >= c.give_up]:
-                self._promises.end(call, call.cls.aim_ns // 8)
+                self._promises.end(call, call.cls.target_ns // 8)
         if self._probing:
             return [c for c in held.values() if ticked and not c.pending]
         while held and self.go(now, next(iter(held.values()))):
--- a/dunefield/idle.py
+++ b/dunefield/idle.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dunefield.book import Book
-from dunefield.interface import CloseIdle
+from dunefield.interface import CloseIdleConnections
 from dunefield.state import Server
 
 
@@ -42,6 +42,6 @@
         server.idle = 0 if server.inflight or not server.used else now - server.used
         if server.idle > self._most:
             if self._most < self._kept:
-                self._book.acts.append(CloseIdle(server.name))
+                self._book.acts.append(CloseIdleConnections(server.name))
             server.idle = server.peak = 0  # the call gets a new one, and its end tells nothing of idling
         server.used = now
--- a/dunefield/interface.py
+++ b/dunefield/interface.py
@@ -13,10 +13,11 @@
 from typing import Any, NamedTuple
 
 SECOND = 1_000_000_000
-IDLE_SHARE = 0.4  # part of the servers' idle limit after which a connection is retired: a burst leaves many
+# Part of the servers' idle limit after which a connection is retired: a burst leaves many.
+IDLE_TIMEOUT_FRACTION = 0.4
 
 
-class How(enum.IntEnum):
+class AttemptOutcome(enum.IntEnum):
     """Outcome of an attempt."""
 
     OK = 100
@@ -29,7 +30,7 @@
     MOOT = 307
 
 
-NEVER_RAN = frozenset({How.FULL, How.CONNECT_FAILED, How.MOOT})
+NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT})
 """Outcomes that prove the attempt had no effect."""
 
 
@@ -42,15 +43,15 @@
     """One class of request: what an answer is worth, by when, and how it may be repeated."""
 
     name: str
-    aim_ns: int
+    target_ns: int
     deadline_ns: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    repeat: str = "single_shot"
-    group: str = "all"
-    window_ns: int = 0
+    value: float = 1.0
+    late_value: float = 0.0
+    retry_safety: str = "single_shot"
+    retry_scope: str = "all"
+    retry_window_ns: int = 0
     stream: bool = False
-    aim_stretch: float = 0.0
+    target_work_factor: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,11 +59,11 @@
     """What the site permits."""
 
     max_attempts: int = 1
-    second_copies: bool = False
+    hedging: bool = False
     retry_after: bool = False
     max_retry_after_ns: int = 0
-    streams_per_conn: int = 1
-    conn_idle_ns: int = 15 * SECOND
+    max_streams_per_connection: int = 1
+    connection_idle_ns: int = 15 * SECOND
     connect_timeout_ns: int = SECOND // 4
     cancel: bool = False
     may_probe: bool = False
@@ -76,13 +77,13 @@
 class Invariants:
     """Figures of the four rules."""
 
-    cold_from: float = 0.1
-    cold_ns: int = 30 * SECOND
+    cold_start_fraction: float = 0.1
+    warm_up_ns: int = 30 * SECOND
     fall_multiple: float = 2.0
     fall_ns: int = SECOND
     drain_grace_ns: int = 0
-    must_ask_in_ns: int = 10 * SECOND
-    answer_grace_ns: int = 0
+    subscribe_within_ns: int = 10 * SECOND
+    response_grace_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,8 +106,8 @@
     index: int = 0
     replicas: int = 1
     period_ns: int = 1_000_000
-    must_ask: bool = False
-    marks_retry: bool = False
+    must_subscribe: bool = False
+    clients_mark_retries: bool = False
     warm_keys: bool = False
     passes_deadline: bool = False
     workload: str = ""
@@ -115,7 +116,7 @@
     value_by: str = "request"
     weights: str = "none"
     goal: Mapping[str, float] = field(default_factory=dict)
-    over_share_worth: float = 1.0
+    over_share_value: float = 1.0
     reports: str = "none"
     columns: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
@@ -138,8 +139,8 @@
             index=root.int("index", 0),
             replicas=max(1, root.int("replicasOfMe", 1)),
             period_ns=max(1, root.int("periodNs", 1_000_000)),
-            must_ask=root.text("discovery", "automatic") == "subscribe",
-            marks_retry=root.sub("clients").flag("marksRetry"),
+            must_subscribe=root.text("discovery", "automatic") == "subscribe",
+            clients_mark_retries=root.sub("clients").flag("marksRetry"),
             warm_keys=root.sub("familyInfo").flag("warmKeys"),
             passes_deadline=root.sub("familyInfo").flag("passesDeadline"),
             workload=root.text("workload", ""),
@@ -148,7 +149,7 @@
             value_by=root.text("valueBy", "request"),
             weights=root.text("weights", "none"),
             goal=root.sub("goal").numbers(),
-            over_share_worth=root.number("overShareWorth", 1.0),
+            over_share_value=root.number("overShareWorth", 1.0),
             reports=root.sub("reporting").text("how", "none"),
             columns=tuple(str(name) for name in root.sub("reporting").list("columns")),
             limits=_limits(root.sub("limits")),
@@ -210,26 +211,26 @@
         raise SettingsError(f"{item._path}.hardLimitNs must be above 0")
     return RequestClass(
         name=item.text("name", ""),
-        aim_ns=min(item.int("onTimeNs", deadline) or deadline, deadline),
+        target_ns=min(item.int("onTimeNs", deadline) or deadline, deadline),
         deadline_ns=deadline,
-        worth=item.number("credit", 1.0),
-        late_worth=item.number("lateWorth", 0.0),
-        repeat=item.text("repeat", "single_shot"),
-        group=item.text("group", "all"),
-        window_ns=item.int("windowNs", 0),
+        value=item.number("credit", 1.0),
+        late_value=item.number("lateWorth", 0.0),
+        retry_safety=item.text("repeat", "single_shot"),
+        retry_scope=item.text("group", "all"),
+        retry_window_ns=item.int("windowNs", 0),
         stream=item.flag("stream"),
-        aim_stretch=item.number("aimStretch", 0.0),
+        target_work_factor=item.number("aimStretch", 0.0),
     )
 
 
 def _limits(item: _Reader) -> Limits:
     return Limits(
         max_attempts=max(1, item.int("maxAttempts", 1)),
-        second_copies=item.flag("secondCopies"),
+        hedging=item.flag("secondCopies"),
         retry_after=item.flag("retryAfter"),
         max_retry_after_ns=item.int("maxRetryAfterNs", 0),
-        streams_per_conn=max(1, item.int("streamsPerConn", 1)),
-        conn_idle_ns=item.int("connIdleNs", 15 * SECOND),
+        max_streams_per_connection=max(1, item.int("streamsPerConn", 1)),
+        connection_idle_ns=item.int("connIdleNs", 15 * SECOND),
         connect_timeout_ns=item.int("connectTimeoutNs", SECOND // 4),
         cancel=item.flag("cancel"),
         may_probe=item.flag("mayProbe"),
@@ -242,20 +243,20 @@
 
 def _invariants(item: _Reader) -> Invariants:
     return Invariants(
-        cold_from=min(1.0, max(0.01, item.number("coldFrom", 0.1))),
-        cold_ns=max(1, item.int("coldNs", 30 * SECOND)),
+        cold_start_fraction=min(1.0, max(0.01, item.number("coldFrom", 0.1))),
+        warm_up_ns=max(1, item.int("coldNs", 30 * SECOND)),
         fall_multiple=max(1.0, item.number("fallMultiple", 2.0)),
         fall_ns=item.int("fallNs", SECOND),
         drain_grace_ns=item.int("drainGraceNs", 0),
-        must_ask_in_ns=max(SECOND, item.int("mustAskInNs", 10 * SECOND)),
-        answer_grace_ns=item.int("graceToAnswerNs", 0),
+        subscribe_within_ns=max(SECOND, item.int("mustAskInNs", 10 * SECOND)),
+        response_grace_ns=item.int("graceToAnswerNs", 0),
     )
 
 
 # --- Events: what the instance sees -------------------------------------------------------------
 
 
-class Entry(NamedTuple):
+class ServerEntry(NamedTuple):
     """One line of a server list."""
 
     server: str
@@ -267,163 +268,186 @@
     started_ns: int = 0
 
 
-class Directory(NamedTuple):
+class ServerListUpdate(NamedTuple):
     """News of the server list. `scope` is INCREMENTAL, FULL, SAVED or FAILED."""
 
     scope: str
-    entries: tuple[Entry, ...] = ()
-    gen: int = 0
+    entries: tuple[ServerEntry, ...] = ()
+    generation: int = 0
 
 
-class Accept(NamedTuple):
+class RequestArrived(NamedTuple):
     """A client's request; exactly one final answer is owed."""
 
-    tid: str
-    cls: int
-    ttl_ns: int
-    cost_ns: int = 0
+    request_id: str
+    class_index: int
+    timeout_ns: int
+    expected_work_ns: int = 0
     tenant: int = 0
     key: str = ""
     retry: bool = False
     write: bool = False
-    growing: bool = False  # its body is still coming, and goes on to a server as it comes: `Grown` ends that
+    body_incomplete: bool = False  # body still arriving, relayed as it comes, until `BodyCompleted`
 
 
-class Response(NamedTuple):
+class AttemptFinished(NamedTuple):
     """The one outcome of an attempt. `load` is the server's report, empty if none came."""
 
-    tid: str
-    how: int
-    lag_ns: int
+    request_id: str
+    outcome: int
+    latency_ns: int
     server: str
     attempt: int
     closed: bool
     load: Mapping[str, float] = {}
 
 
-class Begun(NamedTuple):
+class ResponseStarted(NamedTuple):
     """A streamed answer has started: the attempt now belongs to the client."""
 
-    tid: str
+    request_id: str
     server: str = ""
     attempt: int = 0
-    lag_ns: int = 0
+    latency_ns: int = 0
 
 
-class Grown(NamedTuple):
+class BodyCompleted(NamedTuple):
     """The body of a request that was growing has come whole: from here on a server may work on it."""
 
-    tid: str
+    request_id: str
 
 
-class Spent(NamedTuple):
+class BodyDiscarded(NamedTuple):
     """Of a request that is still coming more has gone out than is kept: no further attempt is possible."""
 
-    tid: str
+    request_id: str
 
 
-class Hangup(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client left; nothing more is owed."""
 
-    tid: str
+    request_id: str
 
 
-class Alarm(NamedTuple):
-    """A timer asked for by `Defer` has come due."""
+class TimerFired(NamedTuple):
+    """A timer asked for by `StartTimer` has come due."""
 
     tag: int
 
 
-class Echo(NamedTuple):
-    """The result of one `Probe`. `load` is the server's report, empty if none came."""
+class ProbeResult(NamedTuple):
+    """The result of one `ProbeServer`. `load` is the server's report, empty if none came."""
 
     server: str
-    how: int
-    lag_ns: int
+    outcome: int
+    latency_ns: int
     load: Mapping[str, float] = {}
 
 
-class Heard(NamedTuple):
-    """Bytes that this peer sent by `Tell`."""
+class PeerMessage(NamedTuple):
+    """Bytes that this peer sent by `SendPeerMessage`."""
 
     peer: int
     data: bytes
 
 
-Event = Directory | Accept | Response | Begun | Grown | Spent | Hangup | Alarm | Echo | Heard
+Event = (
+    ServerListUpdate
+    | RequestArrived
+    | AttemptFinished
+    | ResponseStarted
+    | BodyCompleted
+    | BodyDiscarded
+    | ClientDisconnected
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+)
 
 
 # --- Actions: what the instance wants done ------------------------------------------------------
 
 
-class Submit(NamedTuple):
-    """Start the next attempt for a request, given up at `abandon_ns`."""
+class SendAttempt(NamedTuple):
+    """Start the next attempt for a request, given up at `deadline_ns`."""
 
-    tid: str
+    request_id: str
     server: str
-    abandon_ns: int
+    deadline_ns: int
 
 
-class Refuse(NamedTuple):
+class RefuseRequest(NamedTuple):
     """Final answer: declined, and trying again is harmless."""
 
-    tid: str
-    hold_off_ns: int
+    request_id: str
+    retry_after_ns: int
 
 
-class Fail(NamedTuple):
+class FailRequest(NamedTuple):
     """Final answer: failed, with no promise about effects."""
 
-    tid: str
+    request_id: str
 
 
-class Retract(NamedTuple):
+class CancelAttempt(NamedTuple):
     """Stop waiting for one attempt."""
 
-    tid: str
+    request_id: str
     attempt: int
 
 
-class Subscribe(NamedTuple):
+class SubscribeServerList(NamedTuple):
     """Ask discovery for the list and its changes from now on, or end that."""
 
     want: bool = True
 
 
-class Fetch(NamedTuple):
+class FetchServerList(NamedTuple):
     """Ask discovery for the whole list once."""
 
 
-class Probe(NamedTuple):
-    """Check a server; an `Echo` follows."""
+class ProbeServer(NamedTuple):
+    """Check a server; an `ProbeResult` follows."""
 
     server: str
 
 
-class CloseIdle(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     """Close the idle connections to a server."""
 
     server: str
 
 
-class Tell(NamedTuple):
+class SendPeerMessage(NamedTuple):
     """Send bytes to the peer with this index, or to every peer if it is -1."""
 
     peer: int
     data: bytes
 
 
-class Note(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for the log."""
 
     text: str
 
 
-class Defer(NamedTuple):
-    """Ask for an `Alarm` after `in_ns`."""
+class StartTimer(NamedTuple):
+    """Ask for an `TimerFired` after `delay_ns`."""
 
-    in_ns: int
+    delay_ns: int
     tag: int
 
 
-Action = Submit | Refuse | Fail | Retract | Subscribe | Fetch | Probe | CloseIdle | Tell | Note | Defer
+Action = (
+    SendAttempt
+    | RefuseRequest
+    | FailRequest
+    | CancelAttempt
+    | SubscribeServerList
+    | FetchServerList
+    | ProbeServer
+    | CloseIdleConnections
+    | SendPeerMessage
+    | LogMessage
+    | StartTimer
+)
--- a/dunefield/patience.py
+++ b/dunefield/patience.py
@@ -20,10 +20,10 @@
     def __init__(self) -> None:
         self._parts: deque[float] = deque(maxlen=KEPT)
 
-    def spent(self, ttl_ns: int, deadline_ns: int) -> int:
+    def spent(self, timeout_ns: int, deadline_ns: int) -> int:
         """Take note of a try's limit; return the nanoseconds that its request has been under way for sure."""
-        part = ttl_ns / deadline_ns
+        part = timeout_ns / deadline_ns
         self._parts.append(part)
         if len(self._parts) < SURE or part >= SHORTER * sorted(self._parts)[len(self._parts) // 2]:
             return 0
-        return max(0, deadline_ns - ttl_ns)
+        return max(0, deadline_ns - timeout_ns)
--- a/dunefield/pick.py
+++ b/dunefield/pick.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dunefield.book import UNMUTED, Book
-from dunefield.interface import Probe
+from dunefield.interface import ProbeServer
 from dunefield.promises import Promises
 from dunefield.ring import Ring
 from dunefield.speeds import Speeds
@@ -29,24 +29,24 @@
         """Expected time to answer, with prices put into time."""
         expect = call.size * self._speeds.speed(now, server)
         if server.zone != self._zone:
-            expect += self._cross * call.cls.aim_ns
+            expect += self._cross * call.cls.target_ns
         if server.inflight >= server.peak or now - server.used > self._kept:
-            expect += self._handshake * call.cls.aim_ns
+            expect += self._handshake * call.cls.target_ns
         return expect
 
     def draw(self, call: Call, turn: int) -> Server | None:
         """One server from the source of draws: the group a repeat is bound to, or all that may be drawn."""
         ring = self._ring
-        if call.ran_on is not None and call.cls.repeat == "guarded" and call.cls.group != "all":
+        if call.ran_on is not None and call.cls.retry_safety == "guarded" and call.cls.retry_scope != "all":
             bound = call.ran_on
-            members = ring.groups.get(bound.cell if call.cls.group == "cell" else -1 - bound.zone)
+            members = ring.groups.get(bound.cell if call.cls.retry_scope == "cell" else -1 - bound.zone)
             return members[int(self._random() * len(members))] if members else None
         size = ring.within(call, turn // 4)
         return ring.subset[int(self._random() * size)] if size else None
 
     def pick(self, now: int, call: Call) -> tuple[Server | None, bool, float]:
         """The less loaded of two random servers; (server, is a trial, expected time)."""
-        if self._own and (call.ran_on is None or call.cls.repeat != "guarded"):
+        if self._own and (call.ran_on is None or call.cls.retry_safety != "guarded"):
             found = self.pick_own(now, call)
             if found is not None:
                 return found
@@ -109,7 +109,7 @@
                 if not self._suspects or server.erred:
                     return server, True, 0.0  # only a call shows whether the errors have an end
                 server.trial = True
-                self._book.acts.append(Probe(server.name))
+                self._book.acts.append(ProbeServer(server.name))
                 continue
             usable += 1
             time = self._expect(server, call, now)
--- a/dunefield/retries.py
+++ b/dunefield/retries.py
@@ -4,7 +4,7 @@
 
 from dunefield.asking import Asking
 from dunefield.book import Book
-from dunefield.interface import Retract
+from dunefield.interface import CancelAttempt
 from dunefield.pick import Pick
 from dunefield.promises import Promises
 from dunefield.speeds import Speeds
@@ -31,9 +31,9 @@
     def again(self, now: int, call: Call, free: bool) -> None:
         """Another attempt if class, time and retry budget allow, else the end; `free` earns one."""
         self._tokens += free
-        limit = call.deadline if call.cls.late_worth > 0 else call.aim_at
+        limit = call.deadline if call.cls.late_value > 0 else call.aim_at
         if not call.spent and self._tokens >= 1.0 and now + call.size * self._speeds.stretch / 2 < limit:
-            if self._book.probing and (call.ran_on is None or call.cls.repeat == "free"):
+            if self._book.probing and (call.ran_on is None or call.cls.retry_safety == "free"):
                 self._tokens -= 1.0
                 self._asking.ask(now, call)
                 return
@@ -41,7 +41,7 @@
             if server is not None and self._promises.send(now, call, server, trial):
                 self._tokens -= 1.0
                 return
-        self._promises.end(call, call.cls.aim_ns // 8)
+        self._promises.end(call, call.cls.target_ns // 8)
 
     def overtake(self, now: int, answered: Attempt) -> None:
         """Exception "overtaken": an attempt whose server has answered calls that it was sent later hangs on a
@@ -49,13 +49,13 @@
         another server. Covers answers lost on the way, too, and calls that a server forgot. It harms where
         servers serve many at a time and calls differ widely: some work is then done twice."""
         book = self._book
-        for (tid, number), attempt in answered.server.out.items():
+        for (request_id, number), attempt in answered.server.out.items():
             if attempt.sent < answered.sent:
                 attempt.passed += 1
-                call = book.calls.get(tid)
+                call = book.calls.get(request_id)
                 if (
-                    attempt.passed == OVERTAKEN and call is not None and call.cls.repeat == "free"
+                    attempt.passed == OVERTAKEN and call is not None and call.cls.retry_safety == "free"
                     and self._cancel and self._tokens >= 1.0 and now + book.pace < call.give_up
                 ):
                     self._trust.unanswered(now, attempt)
-                    book.acts.append(Retract(tid, number))
+                    book.acts.append(CancelAttempt(request_id, number))
--- a/dunefield/ring.py
+++ b/dunefield/ring.py
@@ -6,7 +6,7 @@
 
 from dunefield.book import Book
 from dunefield.demand import Demand
-from dunefield.interface import Defer, Directory, Entry, Subscribe
+from dunefield.interface import ServerEntry, ServerListUpdate, StartTimer, SubscribeServerList
 from dunefield.state import Call, Server
 
 FEW = 2  # servers that an idle sidecar draws from at least: one of them may be bad
@@ -23,34 +23,34 @@
         self.reach = 1  # servers that draws go over
         self.heaviest = 1.0  # the largest weight listed
         self.asked_at = 0  # before this no list is asked for
-        self._pause = book.settings.invariants.must_ask_in_ns // 16
+        self._pause = book.settings.invariants.subscribe_within_ns // 16
         self._watching = False
 
     def due(self, now: int) -> None:
         """A timer has come due: ask for the list if it is time."""
-        if self._set.must_ask and not self._watching and now >= self.asked_at:
+        if self._set.must_subscribe and not self._watching and now >= self.asked_at:
             # Should no answer ever come, ask again: silence is no excuse for an old list.
-            pause = self._set.invariants.must_ask_in_ns // 2
+            pause = self._set.invariants.subscribe_within_ns // 2
             self.asked_at = now + pause
-            self._book.acts += [Subscribe(), Defer(pause, 0)]
+            self._book.acts += [SubscribeServerList(), StartTimer(pause, 0)]
 
-    def take(self, now: int, event: Directory) -> bool:
+    def take(self, now: int, event: ServerListUpdate) -> bool:
         """Take news of the list; whether there is any list in them."""
         inv = self._set.invariants
         if event.scope == "FAILED":
             # Discovery serves all sidecars: every failure doubles the pause, so that a crowd thins out. What
             # is drawn may be twice the pause, and must leave a list younger than is allowed.
             self._watching = False
-            self._pause = min(self._pause * 2, inv.must_ask_in_ns * 3 // 8)
+            self._pause = min(self._pause * 2, inv.subscribe_within_ns * 3 // 8)
             self._ask_later(now)
             return False
         if event.scope == "SAVED":
             # The first chance to act: a timer asked for before any event would be lost, and with it the list.
-            if self._set.must_ask:
+            if self._set.must_subscribe:
                 self._ask_later(now)
         else:
-            self._watching = self._set.must_ask
-            self._pause = inv.must_ask_in_ns // 16
+            self._watching = self._set.must_subscribe
+            self._pause = inv.subscribe_within_ns // 16
         if event.scope != "INCREMENTAL":
             listed = {entry.server for entry in event.entries}
             for name, server in self._book.servers.items():
@@ -65,9 +65,9 @@
     def _ask_later(self, now: int) -> None:
         pause = 1 + int(self._pause * 2 * self._book.random())
         self.asked_at = now + pause
-        self._book.acts.append(Defer(pause, 0))
+        self._book.acts.append(StartTimer(pause, 0))
 
-    def enter(self, now: int, entry: Entry) -> None:
+    def enter(self, now: int, entry: ServerEntry) -> None:
         """Note one line of the list."""
         book = self._book
         server = book.servers.get(entry.server)
--- a/dunefield/rules.py
+++ b/dunefield/rules.py
@@ -15,10 +15,9 @@
 from dunefield.demand import Demand
 from dunefield.hold import TICK, Hold
 from dunefield.idle import Idle
-from dunefield.interface import (
-    NEVER_RAN, Accept, Action, Alarm, Begun, Directory, Echo, Event, Grown, Hangup, How, Response, Settings,
-    Spent,
-)
+from dunefield.interface import (NEVER_RAN, Action, AttemptFinished, AttemptOutcome, BodyCompleted,
+    BodyDiscarded, ClientDisconnected, Event, ProbeResult, RequestArrived, ResponseStarted, ServerListUpdate,
+    Settings, TimerFired)
 from dunefield.patience import Patience
 from dunefield.pick import Pick
 from dunefield.promises import Promises
@@ -59,51 +58,53 @@
         book = self.book
         acts: list[Action] = []
         book.acts = acts
-        if isinstance(event, Accept):
+        if isinstance(event, RequestArrived):
             self._on_accept(now, event)
-        elif isinstance(event, Echo):
+        elif isinstance(event, ProbeResult):
             self.asking.echo(now, event)
-        elif isinstance(event, Response):
+        elif isinstance(event, AttemptFinished):
             self._on_response(now, event)
-        elif isinstance(event, Alarm):
+        elif isinstance(event, TimerFired):
             self.ring.due(now)
             if event.tag == TICK:
                 # Told by its tag and not by the clock: another event of the same instant must not swallow the
                 # tick, or the held calls whose time is up would be lost.
                 self.asking.pump(now, True)
-        elif isinstance(event, Directory):
+        elif isinstance(event, ServerListUpdate):
             if self.ring.take(now, event):
                 self.asking.pump(now)
-        elif isinstance(event, Hangup):
-            book.drop(event.tid)
-        elif isinstance(event, Begun) and event.tid in book.calls:
-            book.calls[event.tid].begun = True
-        elif isinstance(event, Spent) and event.tid in book.calls:
-            book.calls[event.tid].spent = True
-        elif isinstance(event, Grown):
-            book.growing.discard(event.tid)
+        elif isinstance(event, ClientDisconnected):
+            book.drop(event.request_id)
+        elif isinstance(event, ResponseStarted) and event.request_id in book.calls:
+            book.calls[event.request_id].begun = True
+        elif isinstance(event, BodyDiscarded) and event.request_id in book.calls:
+            book.calls[event.request_id].spent = True
+        elif isinstance(event, BodyCompleted):
+            book.growing.discard(event.request_id)
         return acts
 
-    def _on_accept(self, now: int, event: Accept) -> None:
+    def _on_accept(self, now: int, event: RequestArrived) -> None:
         book, hold = self.book, self.hold
         # A class that the settings do not name may be one that must never run twice.
-        number = event.cls if 0 <= event.cls < len(book.classes) else len(book.classes) - 1
+        number = event.class_index if 0 <= event.class_index < len(book.classes) else len(book.classes) - 1
         cls = book.classes[number]
         # An answer is worth nothing to a client that has left, however far the aim: patience may be short.
-        aim_at = now + min(cls.aim_ns + int(cls.aim_stretch * event.cost_ns), cls.deadline_ns, event.ttl_ns)
-        size = event.cost_ns + self.speeds.extra[number][0]
-        call = Call(event.tid, number, cls, now + event.ttl_ns, aim_at, event.cost_ns, max(1.0, size))
+        aim_at = now + min(cls.target_ns + int(cls.target_work_factor * event.expected_work_ns),
+                           cls.deadline_ns, event.timeout_ns)
+        size = event.expected_work_ns + self.speeds.extra[number][0]
+        call = Call(event.request_id, number, cls, now + event.timeout_ns, aim_at,
+                    event.expected_work_ns, max(1.0, size))
         call.give_up = hold.give_up(call)
-        book.calls[event.tid] = call
-        if event.growing:
-            book.growing.add(event.tid)
+        book.calls[event.request_id] = call
+        if event.body_incomplete:
+            book.growing.add(event.request_id)
         self.demand.asked(now)
         self.crowding.count(number)
         self.retries.earn()
-        past = self.patience.spent(event.ttl_ns, cls.deadline_ns) >= cls.aim_ns and cls.late_worth <= 0
+        past = self.patience.spent(event.timeout_ns, cls.deadline_ns) >= cls.target_ns and cls.late_value <= 0
         # Exception "shedding": one whose aim has passed in tries before this one goes before all others.
         if now >= call.give_up or (past and self.crowding.level > STIR) or hold.shed(now, number, call.size):
-            self.promises.end(call, cls.aim_ns // 8)
+            self.promises.end(call, cls.target_ns // 8)
         elif book.probing:
             self.asking.ask(now, call)
         elif book.held:
@@ -112,38 +113,38 @@
         elif not hold.go(now, call):
             hold.keep(now, call)
 
-    def _on_response(self, now: int, event: Response) -> None:
+    def _on_response(self, now: int, event: AttemptFinished) -> None:
         book = self.book
-        attempt = book.attempts.pop((event.tid, event.attempt), None)
+        attempt = book.attempts.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return
-        server, how = attempt.server, event.how
-        del server.out[event.tid, event.attempt]
+        server, how = attempt.server, event.outcome
+        del server.out[event.request_id, event.attempt]
         server.inflight -= 1
         server.used = now
-        if how == How.OK:
+        if how == AttemptOutcome.OK:
             server.heard = now
             self.retries.overtake(now, attempt)
             self.idle.answered(now, attempt.idle)
-        stale = how == How.RESET and self.idle.stale(now, attempt.idle, event.lag_ns)
+        stale = how == AttemptOutcome.RESET and self.idle.stale(now, attempt.idle, event.latency_ns)
         if attempt.sent >= server.started:  # else it speaks of the process before, and that one is gone
             server.trial = server.trial and not attempt.trial
             if not stale:
-                if how == How.OK and event.lag_ns > 0:
+                if how == AttemptOutcome.OK and event.latency_ns > 0:
                     self.demand.answered(now)
-                    self.speeds.learn(now, attempt, event.lag_ns)
-                self.speeds.feel(now, attempt, how, event.lag_ns)
+                    self.speeds.learn(now, attempt, event.latency_ns)
+                self.speeds.feel(now, attempt, how, event.latency_ns)
                 self.trust.judge(now, attempt, how)
         book.refresh(server)
-        call = book.calls.get(event.tid)
+        call = book.calls.get(event.request_id)
         if call is not None:
             call.out -= 1
             if event.closed:
-                book.drop(event.tid)
+                book.drop(event.request_id)
             elif how not in NEVER_RAN and call.ran_on is None:
                 call.ran_on, call.ran_at = server, attempt.sent
             if not event.closed and not call.out and not call.begun:
                 # A broken connection is no sign of load, so its repeat is free; so is one that cost nothing.
-                swift = how in NEVER_RAN and event.lag_ns < call.cls.aim_ns // 8
+                swift = how in NEVER_RAN and event.latency_ns < call.cls.target_ns // 8
                 self.retries.again(now, call, stale or (book.suspects and swift))
         self.asking.pump(now)
--- a/dunefield/speeds.py
+++ b/dunefield/speeds.py
@@ -5,7 +5,7 @@
 from dunefield.book import Book
 from dunefield.budget import GAIN
 from dunefield.crowding import CROWDED, Crowding
-from dunefield.interface import How
+from dunefield.interface import AttemptOutcome
 from dunefield.state import Attempt, Server
 
 SLOW = 1.5  # an answer is slow from so many times what it takes uncrowded: servers that hold more may jam
@@ -20,7 +20,7 @@
         self._inv, self._horizon, self._probing = book.settings.invariants, book.horizon, book.probing
         self._span = (8 if book.probing else MEMORY) * book.horizon
         # Mean time to answer by class when uncrowded, beyond what a call's hint tells; its samples; the last.
-        self.extra = [(c.aim_ns / 4, 0, now) for c in book.classes]
+        self.extra = [(c.target_ns / 4, 0, now) for c in book.classes]
         self.stretch = 1.0  # service time over size, all servers
 
     def learn(self, now: int, attempt: Attempt, lag: int) -> None:
@@ -37,22 +37,22 @@
         first = count < 2 or (count < 32 and self._crowding.level < CROWDED)
         gain = max(1.0 / (count + 1) if first else 0.0, (now - at) / (64 * self._horizon))
         self.extra[attempt.cls] = (max(0.0, extra + error * min(gain, 1.0)), count + 1, now)
-        self._crowding.answered(lag / self._book.classes[attempt.cls].aim_ns)
+        self._crowding.answered(lag / self._book.classes[attempt.cls].target_ns)
 
     def feel(self, now: int, attempt: Attempt, how: int, lag: int) -> None:
         """How crowded the fleet is, from own answers alone."""
-        silent = how == How.TIMEOUT and attempt.server.seen < attempt.sent  # to every call, as in a jam
-        if self._probing or not (silent or how in (How.OK, How.FULL)):
+        silent = how == AttemptOutcome.TIMEOUT and attempt.server.seen < attempt.sent  # to all, as in a jam
+        if self._probing or not (silent or how in (AttemptOutcome.OK, AttemptOutcome.FULL)):
             return  # echoes tell it better
-        self._crowding.felt(now, how != How.OK or lag > SLOW * attempt.size)
+        self._crowding.felt(now, how != AttemptOutcome.OK or lag > SLOW * attempt.size)
 
     def ramp(self, server: Server, now: int) -> float:
         """The share of its capacity that a server has at worst, being cold."""
         inv = self._inv
         age = now - server.started
-        if server.started <= 0 or age >= inv.cold_ns:
+        if server.started <= 0 or age >= inv.warm_up_ns:
             return 1.0
-        return inv.cold_from + (1.0 - inv.cold_from) * max(age, 0) / inv.cold_ns
+        return inv.cold_start_fraction + (1.0 - inv.cold_start_fraction) * max(age, 0) / inv.warm_up_ns
 
     def speed(self, now: int, server: Server) -> float:
         """A server's time to answer over size. What is old fades to the mean: one that is passed over tells
--- a/dunefield/state.py
+++ b/dunefield/state.py
@@ -5,7 +5,7 @@
 import math
 
 from dunefield.budget import Budget
-from dunefield.interface import Entry, RequestClass
+from dunefield.interface import ServerEntry, RequestClass
 
 FIGURE = 2.0  # concurrency figure of a server nothing is known of, and its ceiling: each step admits so many
 
@@ -19,7 +19,7 @@
         "credit_at", "out",
     )
 
-    def __init__(self, entry: Entry) -> None:
+    def __init__(self, entry: ServerEntry) -> None:
         super().__init__(FIGURE)
         self.name = entry.server
         self.zone, self.cell, self.heft = entry.zone, entry.cell, entry.weight
@@ -53,14 +53,13 @@
     """A request this sidecar owes an answer."""
 
     __slots__ = (
-        "tid", "number", "cls", "deadline", "aim_at", "size", "tried", "out", "attempts", "ran_on", "ran_at",
-        "begun", "spent", "give_up", "pending", "rounds", "best", "hint", "queue", "best_wait",
+        "request_id", "number", "cls", "deadline", "aim_at", "size", "tried", "out", "attempts", "ran_on",
+        "ran_at", "begun", "spent", "give_up", "pending", "rounds", "best", "hint", "queue", "best_wait",
     )
 
-    def __init__(
-        self, tid: str, number: int, cls: RequestClass, deadline: int, aim_at: int, hint: float, size: float
-    ) -> None:
-        self.tid, self.number, self.cls = tid, number, cls
+    def __init__(self, request_id: str, number: int, cls: RequestClass, deadline: int, aim_at: int,
+                 hint: float, size: float) -> None:
+        self.request_id, self.number, self.cls = request_id, number, cls
         self.deadline, self.aim_at = deadline, aim_at
         self.hint = hint  # work as told, 0 where nothing is
         self.size = size  # expected time to answer of an idle server
--- a/dunefield/trust.py
+++ b/dunefield/trust.py
@@ -5,7 +5,7 @@
 from dunefield.book import UNMUTED, Book
 from dunefield.budget import STEPS
 from dunefield.demand import Demand
-from dunefield.interface import Echo, How
+from dunefield.interface import AttemptOutcome, ProbeResult
 from dunefield.ring import Ring
 from dunefield.speeds import Speeds
 from dunefield.state import Attempt, Server
@@ -20,17 +20,17 @@
     def __init__(self, book: Book, demand: Demand, ring: Ring, speeds: Speeds) -> None:
         self._book, self._demand, self._ring, self._speeds = book, demand, ring, speeds
         self._horizon, self._probing, self._suspects = book.horizon, book.probing, book.suspects
-        self._cold_ns = book.settings.invariants.cold_ns
+        self._cold_ns = book.settings.invariants.warm_up_ns
 
     def judge(self, now: int, attempt: Attempt, how: int) -> None:
         """Budget, trial and conviction after an outcome."""
         server = attempt.server
-        if how in (How.CANCELLED, How.MOOT):
+        if how in (AttemptOutcome.CANCELLED, AttemptOutcome.MOOT):
             return  # withdrawn or never sent: no verdict on the server
-        broken = how in (How.CONNECT_FAILED, How.RESET)
+        broken = how in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET)
         if broken and not self.struck(now, server, attempt.sent) and not self._suspects:
             return
-        failed = how != How.OK
+        failed = how != AttemptOutcome.OK
         before = server.k
         if self._suspects and failed and not attempt.trial:
             self._suspect(now, attempt, how)
@@ -41,14 +41,14 @@
                 server.grow()
         elif broken and server.k:
             server.halve()
-        if how == How.FULL:
+        if how == AttemptOutcome.FULL:
             server.refused()
-        elif how == How.TIMEOUT:
+        elif how == AttemptOutcome.TIMEOUT:
             self.unanswered(now, attempt)
         elif not failed:
             server.mute.pop(attempt.cls, None)
             server.accepted()
-        again, server.erred = server.erred, how == How.ERROR
+        again, server.erred = server.erred, how == AttemptOutcome.ERROR
         if server.erred and again and self._may_convict():
             # Exception "conviction": failing servers answer fast, look idle and would draw all calls. Not at
             # a first error: healthy ones have those, too, and a small fleet would lack them for nothing.
@@ -66,30 +66,30 @@
         the same, and a server that turns all away at once looks idle and draws them. Half of the fleet is
         left in any case."""
         server = attempt.server
-        if how == How.FULL and server.inflight:
+        if how == AttemptOutcome.FULL and server.inflight:
             return  # own calls fill it: the figure takes care of that
-        if how == How.TIMEOUT and server.heard > attempt.sent:
+        if how == AttemptOutcome.TIMEOUT and server.heard > attempt.sent:
             return  # it has answered others since
         if not server.k or not self._may_convict():
             return
         server.k = 0
-        server.backoff = int(2 * attempt.size) if how == How.FULL else self._horizon
-        if how == How.TIMEOUT and not self.struck(now, server, attempt.sent):
+        server.backoff = int(2 * attempt.size) if how == AttemptOutcome.FULL else self._horizon
+        if how == AttemptOutcome.TIMEOUT and not self.struck(now, server, attempt.sent):
             # Late and not silent, most likely: asked at once, it is back before others have to do its work.
             # If it has answered nothing since the last time, asking tells too little.
             server.backoff = 0
         server.backoff = min(server.backoff, self._horizon)
 
-    def asked(self, now: int, server: Server, event: Echo) -> bool:
+    def asked(self, now: int, server: Server, event: ProbeResult) -> bool:
         """A suspect's probe is back: with an answer and no queue it is taken in again. False: out of date."""
         if not server.trial or server.k:
             return False  # of the process before, and meanwhile a call is the trial
         server.trial = False
         queue = event.load.get("queue", 0.0)
-        if event.how == How.OK and queue < UNTOLD:
+        if event.outcome == AttemptOutcome.OK and queue < UNTOLD:
             server.k, server.backoff, server.retry_at = 1, 0, 0
             self._book.live += server.up
-        elif event.how == How.OK:
+        elif event.outcome == AttemptOutcome.OK:
             # It works: no longer a suspect, only busy for about as long as that queue takes.
             server.backoff = 0
             server.retry_at = now + int(queue * self._book.pace * 4 * (0.75 + 0.5 * self._book.random()))
--- a/emulator/crowd.py
+++ b/emulator/crowd.py
@@ -13,22 +13,22 @@
 from typing import Any
 
 from dunefield import (
-    Accept,
-    Alarm,
+    AttemptFinished,
+    AttemptOutcome,
     Balancer,
-    Defer,
-    Directory,
-    Echo,
-    Entry,
-    Fail,
-    How,
-    Probe,
-    Refuse,
-    Response,
-    Retract,
+    CancelAttempt,
+    FailRequest,
+    ProbeResult,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
     Settings,
-    Submit,
-    Subscribe,
+    StartTimer,
+    SubscribeServerList,
+    TimerFired,
 )
 from dunefield.interface import Event
 from emulator.clock import Clock
@@ -79,8 +79,8 @@
         self.cap = 10**9  # sidecars that may be connected
         self.guests: set[int] = set()
 
-    def entry(self, lifecycle: str = "up") -> Entry:
-        return Entry(self.name, self.zone, 0, 0, lifecycle, 1.0, self.started)
+    def entry(self, lifecycle: str = "up") -> ServerEntry:
+        return ServerEntry(self.name, self.zone, 0, 0, lifecycle, 1.0, self.started)
 
     def warmth(self, now: int) -> float:
         if not self.started:
@@ -136,7 +136,7 @@
         for i in range(sidecars):
             told = Settings.parse({**TOLD, "index": i, "replicasOfMe": sidecars})
             self.sidecars.append(Balancer(told, seed * 1000 + i, self.now))
-            self.tell(i, Directory("SAVED", tuple(self.listed.values())))
+            self.tell(i, ServerListUpdate("SAVED", tuple(self.listed.values())))
 
     # --- time
 
@@ -163,12 +163,12 @@
             self.at(when, partial(self.call, i, cls))
 
     def call(self, i: int, cls: int) -> None:
-        tid = str(next(self.order))
-        self.calls[i, tid] = (cls, self.now)
-        self.tell(i, Accept(tid, cls, DEADLINE))
+        request_id = str(next(self.order))
+        self.calls[i, request_id] = (cls, self.now)
+        self.tell(i, RequestArrived(request_id, cls, DEADLINE))
 
-    def end(self, i: int, tid: str, how: str) -> None:
-        cls, _ = self.calls.pop((i, tid))
+    def end(self, i: int, request_id: str, how: str) -> None:
+        cls, _ = self.calls.pop((i, request_id))
         self.ends[how] += 1
         self.by_class[cls][how] += 1
 
@@ -176,23 +176,23 @@
 
     def tell(self, i: int, event: Event) -> None:
         for action in self.sidecars[i].handle(self.now, event):
-            if isinstance(action, Submit):
+            if isinstance(action, SendAttempt):
                 self.submit(i, action)
-            elif isinstance(action, Probe):
+            elif isinstance(action, ProbeServer):
                 self.probe(i, action.server)
-            elif isinstance(action, Defer):
-                self.at(self.now + action.in_ns, partial(self.tell, i, Alarm(action.tag)))
-            elif isinstance(action, Subscribe):
+            elif isinstance(action, StartTimer):
+                self.at(self.now + action.delay_ns, partial(self.tell, i, TimerFired(action.tag)))
+            elif isinstance(action, SubscribeServerList):
                 self.subscribe(i)
-            elif isinstance(action, Refuse | Fail):
-                self.end(i, action.tid, "refused" if isinstance(action, Refuse) else "failed")
-            elif isinstance(action, Retract):
-                self.answer(i, action.tid, action.attempt, "", How.CANCELLED, self.now)
-
-    def submit(self, i: int, action: Submit) -> None:
-        number = self.tries[i, action.tid]
-        self.tries[i, action.tid] += 1
-        self.out[i, action.tid, number] = True
+            elif isinstance(action, RefuseRequest | FailRequest):
+                self.end(i, action.request_id, "refused" if isinstance(action, RefuseRequest) else "failed")
+            elif isinstance(action, CancelAttempt):
+                self.answer(i, action.request_id, action.attempt, "", AttemptOutcome.CANCELLED, self.now)
+
+    def submit(self, i: int, action: SendAttempt) -> None:
+        number = self.tries[i, action.request_id]
+        self.tries[i, action.request_id] += 1
+        self.out[i, action.request_id, number] = True
         self.sent.append((self.now, i, action.server))
         node, sent = self.nodes[action.server], self.now
         work = int(WORK * self.work.lognormvariate(-0.18, 0.6))
@@ -203,38 +203,47 @@
             mode = "full"
         else:
             node.guests.add(i)
-        how: How = How.TIMEOUT
-        when = action.abandon_ns
+        how: AttemptOutcome = AttemptOutcome.TIMEOUT
+        when = action.deadline_ns
         if mode == "full":
-            how, when = How.FULL, sent + MS
+            how, when = AttemptOutcome.FULL, sent + MS
         elif mode == "gone":
-            how, when = How.CONNECT_FAILED, sent + 200 * MS
+            how, when = AttemptOutcome.CONNECT_FAILED, sent + 200 * MS
         elif mode == "errors":
-            how, when = How.ERROR, sent + 5 * MS
+            how, when = AttemptOutcome.ERROR, sent + 5 * MS
         elif mode == "good":
             done = node.take(sent, work)
             if done < when:
-                how, when = How.OK, done
-        self.at(when, partial(self.answer, i, action.tid, number, action.server, how, sent))
+                how, when = AttemptOutcome.OK, done
+        self.at(when, partial(self.answer, i, action.request_id, number, action.server, how, sent))
 
-    def answer(self, i: int, tid: str, number: int, server: str, how: How, sent: int) -> None:
-        if self.out.pop((i, tid, number), None) is None:
+    def answer(
+        self, i: int, request_id: str, number: int, server: str, how: AttemptOutcome, sent: int
+    ) -> None:
+        if self.out.pop((i, request_id, number), None) is None:
             return
-        open_call = self.calls.get((i, tid))
-        if how == How.OK and open_call is not None:
-            self.end(i, tid, "served" if self.now - open_call[1] <= AIM else "late")
-        self.tell(i, Response(tid, how, self.now - sent, server, number, (i, tid) not in self.calls))
+        open_call = self.calls.get((i, request_id))
+        if how == AttemptOutcome.OK and open_call is not None:
+            self.end(i, request_id, "served" if self.now - open_call[1] <= AIM else "late")
+        self.tell(
+            i,
+            AttemptFinished(
+                request_id, how, self.now - sent, server, number, (i, request_id) not in self.calls
+            ),
+        )
 
     def probe(self, i: int, server: str) -> None:
         node, sent = self.nodes[server], self.now
         node.probed += 1
         if node.mode in ("silent", "gone"):
-            self.at(sent + 27 * MS, lambda: self.tell(i, Echo(server, How.TIMEOUT, 27 * MS)))
+            self.at(
+                sent + 27 * MS, lambda: self.tell(i, ProbeResult(server, AttemptOutcome.TIMEOUT, 27 * MS))
+            )
             return
         load = {"inflight": float(node.held(sent)), "queue": max(0.0, node.held(sent) - 1.0)}
         if node.mode == "full":
             load = {"inflight": 9.0, "queue": 8.0}
-        self.at(sent + MS, lambda: self.tell(i, Echo(server, How.OK, MS, load)))
+        self.at(sent + MS, lambda: self.tell(i, ProbeResult(server, AttemptOutcome.OK, MS, load)))
 
     # --- discovery
 
@@ -243,18 +252,18 @@
         lines = 40 + len(self.listed)
         wait = max(0, self.busy_until - self.now) + int(lines / self.capacity * SECOND)
         if self.closed or wait > 2 * SECOND:
-            self.at(self.now + MS, lambda: self.tell(i, Directory("FAILED")))
+            self.at(self.now + MS, lambda: self.tell(i, ServerListUpdate("FAILED")))
             return
         self.busy_until = self.now + wait
 
         def told() -> None:
             self.listed_at.setdefault(i, self.now)
             self.watching.add(i)
-            self.tell(i, Directory("FULL", tuple(self.listed.values())))
+            self.tell(i, ServerListUpdate("FULL", tuple(self.listed.values())))
 
         self.at(self.now + wait, told)
 
-    def news(self, *entries: Entry) -> None:
+    def news(self, *entries: ServerEntry) -> None:
         """The list changes, and all that watch are told."""
         for entry in entries:
             if entry.lifecycle == "removed":
@@ -262,7 +271,7 @@
             else:
                 self.listed[entry.server] = entry
         for i in sorted(self.watching):
-            self.tell(i, Directory("INCREMENTAL", entries))
+            self.tell(i, ServerListUpdate("INCREMENTAL", entries))
 
     def add(self, *nodes: Node) -> None:
         for node in nodes:
@@ -275,7 +284,7 @@
         self.at(self.now + int(seconds * SECOND), lambda: setattr(self, "closed", False))
         lost, self.watching = sorted(self.watching), set()
         for i in lost:
-            self.tell(i, Directory("FAILED"))
+            self.tell(i, ServerListUpdate("FAILED"))
 
 
 def nodes(count: int, first: int = 0, started: int = 0) -> list[Node]:
--- a/emulator/fleet.py
+++ b/emulator/fleet.py
@@ -19,25 +19,25 @@
 from typing import Any
 
 from dunefield import (
-    Accept,
-    Alarm,
+    AttemptFinished,
+    AttemptOutcome,
     Balancer,
-    Defer,
-    Directory,
-    Echo,
-    Entry,
-    Fail,
-    Hangup,
-    How,
-    Probe,
-    Refuse,
-    Response,
-    Retract,
+    CancelAttempt,
+    ClientDisconnected,
+    FailRequest,
+    ProbeResult,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
     Settings,
-    Submit,
-    Subscribe,
+    StartTimer,
+    SubscribeServerList,
+    TimerFired,
 )
-from dunefield.interface import IDLE_SHARE, CloseIdle, Event
+from dunefield.interface import IDLE_TIMEOUT_FRACTION, CloseIdleConnections, Event
 from emulator.clock import Clock
 from emulator.day import MS, Day
 from emulator.network import Distance, Network
@@ -59,10 +59,10 @@
         self.fault = ""  # or "silent", "errors", "full"
         self.idle: dict[int, list[int]] = {}
 
-    def entry(self) -> Entry:
+    def entry(self) -> ServerEntry:
         """Its line of the list."""
         started = self.node.started if self.node.warmth() < 1.0 else 0
-        return Entry(self.name, self.hall, 0, 0, "up", 1.0, started)
+        return ServerEntry(self.name, self.hall, 0, 0, "up", 1.0, started)
 
 
 @dataclass(slots=True, eq=False)
@@ -82,7 +82,7 @@
     """One attempt: who waits for it, and what it cost the server."""
 
     owner: Try
-    tid: str
+    request_id: str
     number: int
     machine: Machine
     at: int
@@ -102,7 +102,7 @@
         self.network = Network(Distance(), self.streams.of("network"))
         self.names = itertools.count()
         self.machines: dict[str, Machine] = {}
-        self.listed: dict[str, Entry] = {}
+        self.listed: dict[str, ServerEntry] = {}
         self.spent = Spent()
         self.asked: list[Asked] = []
         self.on_try: Callable[[Try, str], None] = lambda tried, end: None
@@ -140,7 +140,7 @@
         """A sidecar's process begins, without memory."""
         seed = self.streams.of("seed", i, self.clock.now).getrandbits(60)
         self.sidecars[i] = self.module(self.day.told(i), seed, self.clock.now)
-        self.tell(i, Directory("SAVED", tuple(self.listed.values())))
+        self.tell(i, ServerListUpdate("SAVED", tuple(self.listed.values())))
 
     # --- load
 
@@ -195,32 +195,32 @@
         ttl = left if tried.number + 1 >= clients.tries else min(left, part)
         if ttl <= 5 * MS:
             return
-        tid = f"{next(self._numbers)}"
+        request_id = f"{next(self._numbers)}"
         self.spent.tries += 1
-        self._tries[tried.sidecar, tid] = tried
-        self.clock.after(ttl, partial(self._leave, tid, tried))
-        accept = Accept(tid, request.cls, ttl - 10 * MS, 0, request.tenant)
+        self._tries[tried.sidecar, request_id] = tried
+        self.clock.after(ttl, partial(self._leave, request_id, tried))
+        accept = RequestArrived(request_id, request.cls, ttl - 10 * MS, 0, request.tenant)
         self.clock.after(CARRY_NS, partial(self.tell, tried.sidecar, accept))
 
-    def _leave(self, tid: str, tried: Try) -> None:
+    def _leave(self, request_id: str, tried: Try) -> None:
         """The try's time is up."""
         if tried.over:
             return
-        self._over(tid, tried, "timeout")
-        self.tell(tried.sidecar, Hangup(tid))
+        self._over(request_id, tried, "timeout")
+        self.tell(tried.sidecar, ClientDisconnected(request_id))
         for n in range(tried.attempts):
-            sent = self._sent.get((tried.sidecar, tid, n))
+            sent = self._sent.get((tried.sidecar, request_id, n))
             if sent is not None:
-                self._back(sent, How.CANCELLED)
+                self._back(sent, AttemptOutcome.CANCELLED)
         self._once_more(tried, 0)
 
     def _in_time(self, request: Asked) -> bool:
         """Whether an answer that the sidecar has now reaches its client within the aim."""
         return self.clock.now + CARRY_NS - request.at <= self.day.aim_ns
 
-    def _over(self, tid: str, tried: Try, end: str) -> None:
+    def _over(self, request_id: str, tried: Try, end: str) -> None:
         tried.over = True
-        self._tries.pop((tried.sidecar, tid), None)
+        self._tries.pop((tried.sidecar, request_id), None)
         request = tried.request
         if end == "answered":
             request.end = "served" if self._in_time(request) else "late"
@@ -250,34 +250,34 @@
         if module is None:
             return
         for action in module.handle(self.clock.now, event):
-            if isinstance(action, Submit):
+            if isinstance(action, SendAttempt):
                 self._submit(i, action)
-            elif isinstance(action, Probe):
+            elif isinstance(action, ProbeServer):
                 self._probe(i, action.server)
-            elif isinstance(action, Defer):
-                self.clock.after(action.in_ns, partial(self._alarm, i, module, action.tag))
-            elif isinstance(action, Refuse | Fail):
+            elif isinstance(action, StartTimer):
+                self.clock.after(action.delay_ns, partial(self._alarm, i, module, action.tag))
+            elif isinstance(action, RefuseRequest | FailRequest):
                 self._end(i, action)
-            elif isinstance(action, Retract):
-                sent = self._sent.get((i, action.tid, action.attempt))
+            elif isinstance(action, CancelAttempt):
+                sent = self._sent.get((i, action.request_id, action.attempt))
                 if sent is not None:
-                    self.clock.after(1, partial(self._back, sent, How.CANCELLED))
-            elif isinstance(action, Subscribe):
+                    self.clock.after(1, partial(self._back, sent, AttemptOutcome.CANCELLED))
+            elif isinstance(action, SubscribeServerList):
                 self._subscribe(i, module)
-            elif isinstance(action, CloseIdle) and action.server in self.machines:
+            elif isinstance(action, CloseIdleConnections) and action.server in self.machines:
                 self.machines[action.server].idle.pop(i, None)
 
     def _alarm(self, i: int, module: Any, tag: int) -> None:
         if self.sidecars[i] is module:
-            self.tell(i, Alarm(tag))
+            self.tell(i, TimerFired(tag))
 
-    def _end(self, i: int, action: Refuse | Fail) -> None:
-        tried = self._tries.get((i, action.tid))
+    def _end(self, i: int, action: RefuseRequest | FailRequest) -> None:
+        tried = self._tries.get((i, action.request_id))
         if tried is None:
             return
-        refused = isinstance(action, Refuse)
-        self._over(action.tid, tried, "refused" if refused else "failed")
-        told = max(MS, action.hold_off_ns) if isinstance(action, Refuse) else MS
+        refused = isinstance(action, RefuseRequest)
+        self._over(action.request_id, tried, "refused" if refused else "failed")
+        told = max(MS, action.retry_after_ns) if isinstance(action, RefuseRequest) else MS
         self.clock.after(CARRY_NS, partial(self._once_more, tried, told))
 
     def _reaches(self, i: int, machine: Machine) -> bool:
@@ -295,88 +295,94 @@
         """Take a connection; the time that a new one costs."""
         idle, now = machine.idle.get(i), self.clock.now
         while idle:
-            if now - idle.pop() < self.day.idle_ns * IDLE_SHARE:
+            if now - idle.pop() < self.day.idle_ns * IDLE_TIMEOUT_FRACTION:
                 return 0
         self.spent.handshakes += 1
         if machine.node.inflight() < machine.node.shape.queue:
             machine.node.take(self.day.handshake_ns, lambda served: None)
         return self.day.handshake_rtts * 2 * self._way(i, machine)
 
-    def _submit(self, i: int, action: Submit) -> None:
-        tried = self._tries.get((i, action.tid))
+    def _submit(self, i: int, action: SendAttempt) -> None:
+        tried = self._tries.get((i, action.request_id))
         if tried is None:
-            raise AssertionError(f"sidecar {i} sends {action.tid}, which has ended")
+            raise AssertionError(f"sidecar {i} sends {action.request_id}, which has ended")
         machine = self.machines[action.server]
         number, tried.attempts = tried.attempts, tried.attempts + 1
         work = self._work(tried.request, tried.size)
-        sent = Sent(tried, action.tid, number, machine, self.clock.now, work)
-        self._sent[i, action.tid, number] = sent
+        sent = Sent(tried, action.request_id, number, machine, self.clock.now, work)
+        self._sent[i, action.request_id, number] = sent
         self.spent.attempts += 1
         self.spent.crossed += machine.hall != i % self.day.halls
-        self.clock.at(max(action.abandon_ns, self.clock.now), partial(self._back, sent, How.TIMEOUT))
+        self.clock.at(
+            max(action.deadline_ns, self.clock.now), partial(self._back, sent, AttemptOutcome.TIMEOUT)
+        )
         if not self._reaches(i, machine):
             if machine.idle.get(i):
                 machine.idle[i].pop()  # silent, and given up with the call
             else:
                 span = self.day.connect_timeout_ns
-                self.clock.after(span, partial(self._back, sent, How.CONNECT_FAILED))
+                self.clock.after(span, partial(self._back, sent, AttemptOutcome.CONNECT_FAILED))
             return
         if machine.node.dead:
-            self.clock.after(self._way(i, machine) * 2, partial(self._back, sent, How.CONNECT_FAILED))
+            self.clock.after(
+                self._way(i, machine) * 2, partial(self._back, sent, AttemptOutcome.CONNECT_FAILED)
+            )
             return
         self.clock.after(self._connect(i, machine) + self._way(i, machine), partial(self._arrive, i, sent))
 
     def _arrive(self, i: int, sent: Sent) -> None:
         node, way = sent.machine.node, self._way(i, sent.machine)
         if sent.machine.fault in ("errors", "full"):
-            how = How.ERROR if sent.machine.fault == "errors" else How.FULL
+            how = AttemptOutcome.ERROR if sent.machine.fault == "errors" else AttemptOutcome.FULL
             self.clock.after(way + TURNED_NS, partial(self._back, sent, how))
             return
         if node.dead or (node.inflight() > node.shape.queue):
-            how = How.RESET if node.dead else How.FULL
+            how = AttemptOutcome.RESET if node.dead else AttemptOutcome.FULL
             self.clock.after(way + TURNED_NS, partial(self._back, sent, how))
             return
         self.spent.work += sent.work
         self.spent.wasted += sent.work  # until its answer is of use
 
         def done(served: bool) -> None:
-            self.clock.after(way, partial(self._back, sent, How.OK if served else How.RESET))
+            self.clock.after(
+                way, partial(self._back, sent, AttemptOutcome.OK if served else AttemptOutcome.RESET)
+            )
 
         node.take(sent.work, done)
 
-    def _back(self, sent: Sent, how: How) -> None:
+    def _back(self, sent: Sent, how: AttemptOutcome) -> None:
         """An attempt's one outcome."""
         if sent.over:
             return
         sent.over = True
         tried, i = sent.owner, sent.owner.sidecar
-        del self._sent[i, sent.tid, sent.number]
-        if how in (How.OK, How.FULL, How.ERROR):
+        del self._sent[i, sent.request_id, sent.number]
+        if how in (AttemptOutcome.OK, AttemptOutcome.FULL, AttemptOutcome.ERROR):
             idle = sent.machine.idle.setdefault(i, [])
             idle.append(self.clock.now)
-        if how == How.OK and not tried.over:
+        if how == AttemptOutcome.OK and not tried.over:
             if self._in_time(tried.request):
                 self.spent.wasted -= sent.work
-            self._over(sent.tid, tried, "answered")
+            self._over(sent.request_id, tried, "answered")
         lag = self.clock.now - sent.at
-        self.tell(i, Response(sent.tid, how, lag, sent.machine.name, sent.number, tried.over))
+        self.tell(i, AttemptFinished(sent.request_id, how, lag, sent.machine.name, sent.number, tried.over))
 
     def _probe(self, i: int, name: str) -> None:
         machine = self.machines.get(name)
         self.spent.probes += 1
         if machine is None:
-            self.clock.after(1, partial(self.tell, i, Echo(name, How.CONNECT_FAILED, 1)))
+            self.clock.after(1, partial(self.tell, i, ProbeResult(name, AttemptOutcome.CONNECT_FAILED, 1)))
             return
         span = 27 * MS
         if machine.node.dead or not self._reaches(i, machine):
-            self.clock.after(span, partial(self.tell, i, Echo(name, How.TIMEOUT, span)))
+            self.clock.after(span, partial(self.tell, i, ProbeResult(name, AttemptOutcome.TIMEOUT, span)))
             return
         way = self._connect(i, machine) + 2 * self._way(i, machine) + MS
         load = {"inflight": float(machine.node.inflight()), "queue": float(machine.node.queued())}
         if machine.fault == "full":
             load = {"inflight": 9.0, "queue": 8.0}
         machine.idle.setdefault(i, []).append(self.clock.now + way)
-        self.clock.after(way, partial(self.tell, i, Echo(name, How.OK, way, load)))
+        self.clock.after(way, partial(self.tell, i, ProbeResult(name, AttemptOutcome.OK, way, load)))
 
     # --- discovery
 
@@ -385,20 +391,20 @@
         wait = max(0, self._busy_until - self.clock.now)
         wait += int((40 + len(self.listed)) / self.day.lines_a_second * SECOND)
         if wait > 2 * SECOND:
-            self.clock.after(MS, partial(self._listed, i, module, Directory("FAILED")))
+            self.clock.after(MS, partial(self._listed, i, module, ServerListUpdate("FAILED")))
             return
         self._busy_until = self.clock.now + wait
         self.clock.after(wait, partial(self._full_list, i, module))
 
     def _full_list(self, i: int, module: Any) -> None:
         self.watching.add(i)
-        self._listed(i, module, Directory("FULL", tuple(self.listed.values())))
+        self._listed(i, module, ServerListUpdate("FULL", tuple(self.listed.values())))
 
-    def _listed(self, i: int, module: Any, news: Directory) -> None:
+    def _listed(self, i: int, module: Any, news: ServerListUpdate) -> None:
         if self.sidecars[i] is module:
             self.tell(i, news)
 
-    def news(self, *entries: Entry) -> None:
+    def news(self, *entries: ServerEntry) -> None:
         """The list changes; all that watch are told, a little apart."""
         for entry in entries:
             if entry.lifecycle == "removed":
@@ -408,7 +414,7 @@
         draw = self.streams.of("news", self.clock.now).random
         for i in sorted(self.watching):
             span = int(self.late_lists_ns * (0.5 + draw()))
-            told = Directory("INCREMENTAL", entries)
+            told = ServerListUpdate("INCREMENTAL", entries)
             self.clock.after(span, partial(self._listed, i, self.sidecars[i], told))
 
     # --- playing
--- a/emulator/watch.py
+++ b/emulator/watch.py
@@ -11,7 +11,19 @@
 from collections.abc import Callable
 from typing import Any
 
-from dunefield import Accept, Defer, Directory, Entry, Fail, Hangup, Probe, Refuse, Response, Settings, Submit
+from dunefield import (
+    AttemptFinished,
+    ClientDisconnected,
+    FailRequest,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
+    Settings,
+    StartTimer,
+)
 from dunefield.interface import NEVER_RAN, Event, RequestClass
 
 
@@ -26,12 +38,12 @@
 
     def __init__(self, cls: RequestClass, deadline: int) -> None:
         self.cls, self.deadline = cls, deadline
-        self.sends: list[tuple[Entry, int]] = []
+        self.sends: list[tuple[ServerEntry, int]] = []
         self.out: set[int] = set()
-        self.ran: tuple[Entry, int] | None = None  # the first attempt that may have run
+        self.ran: tuple[ServerEntry, int] | None = None  # the first attempt that may have run
 
     @property
-    def uncertain(self) -> tuple[Entry, int] | None:
+    def uncertain(self) -> tuple[ServerEntry, int] | None:
         """The first attempt that ran, may have run or may yet."""
         return self.ran or (self.sends[min(self.out)] if self.out else None)
 
@@ -42,7 +54,7 @@
     def __init__(self, settings: Settings) -> None:
         self._set = settings
         self._owed: dict[str, Owed] = {}
-        self._up: dict[str, Entry] = {}
+        self._up: dict[str, ServerEntry] = {}
 
     @property
     def owed(self) -> int:
@@ -51,18 +63,18 @@
 
     def saw(self, now: int, event: Event) -> None:
         """An event is about to reach the module."""
-        if isinstance(event, Accept):
-            self._owed[event.tid] = Owed(self._set.classes[event.cls], now + event.ttl_ns)
-        elif isinstance(event, Response) and event.tid in self._owed:
-            owed = self._owed[event.tid]
+        if isinstance(event, RequestArrived):
+            self._owed[event.request_id] = Owed(self._set.classes[event.class_index], now + event.timeout_ns)
+        elif isinstance(event, AttemptFinished) and event.request_id in self._owed:
+            owed = self._owed[event.request_id]
             owed.out.discard(event.attempt)
-            if event.how not in NEVER_RAN and owed.ran is None:
+            if event.outcome not in NEVER_RAN and owed.ran is None:
                 owed.ran = owed.sends[event.attempt]
             if event.closed:
-                del self._owed[event.tid]
-        elif isinstance(event, Hangup):
-            self._owed.pop(event.tid, None)
-        elif isinstance(event, Directory) and event.scope != "FAILED":
+                del self._owed[event.request_id]
+        elif isinstance(event, ClientDisconnected):
+            self._owed.pop(event.request_id, None)
+        elif isinstance(event, ServerListUpdate) and event.scope != "FAILED":
             if event.scope != "INCREMENTAL":
                 self._up = {}
             for entry in event.entries:
@@ -72,46 +84,52 @@
 
     def passed(self, now: int) -> None:
         """Time has passed: whatever is due by now must have been answered."""
-        for tid, owed in self._owed.items():
-            if now > owed.deadline + self._set.invariants.answer_grace_ns:
-                raise Broken(f"no final answer in time for {tid} at {now}")
+        for request_id, owed in self._owed.items():
+            if now > owed.deadline + self._set.invariants.response_grace_ns:
+                raise Broken(f"no final answer in time for {request_id} at {now}")
 
     def did(self, now: int, action: Any) -> None:
         """The module wants this."""
-        if isinstance(action, Submit):
+        if isinstance(action, SendAttempt):
             self._sent(now, action)
-        elif isinstance(action, Refuse | Fail):
-            owed = self._owed.pop(action.tid, None)
+        elif isinstance(action, RefuseRequest | FailRequest):
+            owed = self._owed.pop(action.request_id, None)
             if owed is None:
-                raise Broken(f"a second final answer for {action.tid} at {now}")
-            harmless = owed.cls.repeat == "free" or (owed.cls.repeat == "guarded" and owed.cls.group == "all")
-            if isinstance(action, Refuse) and owed.uncertain and not harmless:
-                raise Broken(f"a refusal that may be untrue: {action.tid} at {now}")
-        elif isinstance(action, Defer) and action.in_ns <= 0:
+                raise Broken(f"a second final answer for {action.request_id} at {now}")
+            harmless = owed.cls.retry_safety == "free" or (
+                owed.cls.retry_safety == "guarded" and owed.cls.retry_scope == "all"
+            )
+            if isinstance(action, RefuseRequest) and owed.uncertain and not harmless:
+                raise Broken(f"a refusal that may be untrue: {action.request_id} at {now}")
+        elif isinstance(action, StartTimer) and action.delay_ns <= 0:
             raise Broken(f"a timer in the past at {now}")
-        elif isinstance(action, Probe) and not self._set.limits.may_probe:
+        elif isinstance(action, ProbeServer) and not self._set.limits.may_probe:
             raise Broken(f"a probe where none is allowed at {now}")
 
-    def _sent(self, now: int, action: Submit) -> None:
-        owed, limits, which = self._owed.get(action.tid), self._set.limits, f"{action.tid} at {now}"
+    def _sent(self, now: int, action: SendAttempt) -> None:
+        owed, limits, which = (
+            self._owed.get(action.request_id),
+            self._set.limits,
+            f"{action.request_id} at {now}",
+        )
         if owed is None or now > owed.deadline:
             raise Broken(f"a send after the end: {which}")
         entry = self._up.get(action.server)
         if entry is None:
             raise Broken(f"a send to a server that is draining, gone or unlisted: {which}")
-        if action.abandon_ns > owed.deadline:
+        if action.deadline_ns > owed.deadline:
             raise Broken(f"an attempt may outlive its client: {which}")
         if len(owed.sends) >= limits.max_attempts:
             raise Broken(f"more attempts than allowed: {which}")
-        if owed.out and not limits.second_copies:
+        if owed.out and not limits.hedging:
             raise Broken(f"two attempts at once: {which}")
         cls = owed.cls
-        if owed.uncertain and cls.repeat == "single_shot":
+        if owed.uncertain and cls.retry_safety == "single_shot":
             raise Broken(f"an unsafe request may run twice: {which}")
-        if owed.uncertain and cls.repeat == "guarded":
+        if owed.uncertain and cls.retry_safety == "guarded":
             first, at = owed.uncertain
             same = {"all": True, "zone": first.zone == entry.zone, "cell": first.cell == entry.cell}
-            if not same[cls.group] or now >= at + cls.window_ns:
+            if not same[cls.retry_scope] or now >= at + cls.retry_window_ns:
                 raise Broken(f"a keyed request repeated outside its group or window: {which}")
         owed.out.add(len(owed.sends))
         owed.sends.append((entry, now))
--- a/hollyport/core/contract.py
+++ b/hollyport/core/contract.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-from dunefield.interface import How
+from dunefield.interface import AttemptOutcome
 
 
 class Terms(NamedTuple):
@@ -32,7 +32,7 @@
 class Asked(Protocol):
     """A request as its front took it. Exactly one of its ends is called; a later one has no effect."""
 
-    tid: str  # for the core: which request this became
+    request_id: str  # for the core: which request this became
     came: float  # when its last byte was read, by the loop's clock
 
     def wire(self, left_s: float) -> Any:
@@ -81,7 +81,7 @@
     """A node's whole answer."""
 
     @property
-    def how(self) -> How:
+    def how(self) -> AttemptOutcome:
         """What it says of the attempt."""
 
     @property
@@ -96,7 +96,7 @@
         """The load report that is the answer to a probe."""
 
 
-Ended = Callable[[How, Answered | None], None]
+Ended = Callable[[AttemptOutcome, Answered | None], None]
 
 
 class Carried(Protocol):
--- a/hollyport/core/requests.py
+++ b/hollyport/core/requests.py
@@ -17,28 +17,28 @@
 
 from dunefield.interface import (
     NEVER_RAN,
-    Accept,
     Action,
-    Alarm,
-    CloseIdle,
-    Defer,
-    Echo,
+    AttemptFinished,
+    AttemptOutcome,
+    BodyCompleted,
+    BodyDiscarded,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Event,
-    Fail,
-    Fetch,
-    Grown,
-    Hangup,
-    How,
-    Note,
-    Probe,
-    Refuse,
-    Response,
-    Retract,
+    FailRequest,
+    FetchServerList,
+    LogMessage,
+    ProbeResult,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+    SendPeerMessage,
     Settings,
-    Spent,
-    Submit,
-    Subscribe,
-    Tell,
+    StartTimer,
+    SubscribeServerList,
+    TimerFired,
 )
 from dunefield.rules import Balancer
 from hollyport.core.clock import Beat, Clock
@@ -61,11 +61,11 @@
 class Request:
     """A request taken from the application, until it is over and no attempt is out."""
 
-    __slots__ = ("tid", "asked", "cls", "attempts", "out", "maybe_ran", "over", "guard", "last", "oneway",
-                 "rid", "growing", "wait_ns", "whole_at", "counted", "flowing", "told")  # fmt: skip
+    __slots__ = ("request_id", "asked", "cls", "attempts", "out", "maybe_ran", "over", "guard", "last",
+                 "oneway", "rid", "growing", "wait_ns", "whole_at", "counted", "flowing", "told")  # fmt: skip
 
-    def __init__(self, tid: str, asked: Asked, terms: Terms) -> None:
-        self.tid, self.asked, self.cls, self.oneway = tid, asked, terms.cls, terms.oneway
+    def __init__(self, request_id: str, asked: Asked, terms: Terms) -> None:
+        self.request_id, self.asked, self.cls, self.oneway = request_id, asked, terms.cls, terms.oneway
         self.rid, self.growing, self.wait_ns = terms.rid, terms.growing, terms.wait_ns
         self.whole_at = 0  # when its last byte came, where it was taken before that
         self.counted = not terms.growing  # among those taken
@@ -76,7 +76,7 @@
         self.maybe_ran = False
         self.over = False  # answered, or the client has left
         self.guard: asyncio.TimerHandle | None = None
-        self.last: How | None = None
+        self.last: AttemptOutcome | None = None
 
 
 class Core:
@@ -105,7 +105,7 @@
         self._inbox: deque[Event] = deque()
         self._handling = False
         # A probe that takes so long tells of a server that stands still, whatever it would have said.
-        self._probe_limit_s = min(c.aim_ns for c in settings.classes) / 6e9
+        self._probe_limit_s = min(c.target_ns for c in settings.classes) / 6e9
         self._module = Balancer(settings, seed, clock())
 
     # --- events in
@@ -126,18 +126,18 @@
         try:
             actions = self._module.handle(self._clock(), event)
         except Exception:
-            self._broken(getattr(event, "tid", ""))
+            self._broken(getattr(event, "request_id", ""))
             return
         for action in actions:
             try:
                 self._perform(action)
             except Exception:
-                self._broken(getattr(action, "tid", ""))
+                self._broken(getattr(action, "request_id", ""))
 
-    def _broken(self, tid: str) -> None:
+    def _broken(self, request_id: str) -> None:
         """An exception costs the request it came from, and nothing else."""
         traceback.print_exc(file=sys.stderr)
-        request = self._requests.get(tid)
+        request = self._requests.get(request_id)
         if request is not None:
             self._give_up(request, request.asked.broken)
 
@@ -163,15 +163,15 @@
             asked.repeated()
             return
         self._count += 1
-        asked.tid = tid = str(self._count)
+        asked.request_id = request_id = str(self._count)
         # It may have waited behind another, or unread while this process stood still for want of CPU.
         wait = terms.wait_ns - int((now - asked.came + self._stalled()) * 1e9)
-        request = self._requests[tid] = Request(tid, asked, terms)
+        request = self._requests[request_id] = Request(request_id, asked, terms)
         if not terms.growing:
             request.guard = self._loop.call_later((wait - GUARD_NS) / 1e9, self._guard, request)
         self.deliver(
-            Accept(
-                tid,
+            RequestArrived(
+                request_id,
                 terms.cls,
                 wait - MARGIN_NS,
                 terms.cost_ns,
@@ -185,12 +185,12 @@
 
     def whole(self, asked: Asked) -> None:
         """The last byte of a request that was growing has come: the client's time begins."""
-        request = self._requests.get(asked.tid)
+        request = self._requests.get(asked.request_id)
         if request is None or not request.growing or request.over:
             return
         self._count_in(request)
         request.growing, request.whole_at = False, self._clock()
-        self.deliver(Grown(request.tid))
+        self.deliver(BodyCompleted(request.request_id))
         wait = request.wait_ns - int(self._stalled() * 1e9)
         request.guard = self._loop.call_later((wait - GUARD_NS) / 1e9, self._guard, request)
         for exchange in request.out.values():
@@ -198,12 +198,12 @@
 
     def spent(self, asked: Asked) -> None:
         """No other attempt can be made: what has come is not held."""
-        if asked.tid in self._requests:
-            self.deliver(Spent(asked.tid))
+        if asked.request_id in self._requests:
+            self.deliver(BodyDiscarded(asked.request_id))
 
     def hangup(self, asked: Asked) -> None:
         """The client left; what its attempts come to is still told to the module."""
-        request = self._requests.get(asked.tid)
+        request = self._requests.get(asked.request_id)
         if request is not None and request.flowing >= 0:
             exchange = request.out.get(request.flowing)
             if exchange is not None:
@@ -212,7 +212,7 @@
                 exchange.cancel()
         elif request is not None and not request.over:
             self._finish(request, End.LEFT)
-            self.deliver(Hangup(request.tid))
+            self.deliver(ClientDisconnected(request.request_id))
             if request.growing:
                 # It was never whole, so no server can have begun it, and none is to wait for the rest.
                 for exchange in list(request.out.values()):
@@ -224,42 +224,42 @@
 
     def _perform(self, action: Action) -> None:
         match action:
-            case Submit(tid, server, abandon_ns):
-                self._submit(tid, server, abandon_ns)
-            case Probe(server):
+            case SendAttempt(request_id, server, deadline_ns):
+                self._submit(request_id, server, deadline_ns)
+            case ProbeServer(server):
                 self._probe(server)
-            case Defer(in_ns, tag):
-                self._defer(self._clock() + in_ns, tag)
-            case Refuse(tid, hold_off_ns):
-                if (request := self._ended(tid, End.DROPPED)) is not None:
-                    request.asked.refused(hold_off_ns)
-            case Fail(tid):
-                if (request := self._ended(tid, End.FAILED)) is not None:
-                    request.asked.failed(request.last is How.TIMEOUT)
-            case Retract(tid, attempt):
-                request = self._requests.get(tid)
+            case StartTimer(delay_ns, tag):
+                self._defer(self._clock() + delay_ns, tag)
+            case RefuseRequest(request_id, retry_after_ns):
+                if (request := self._ended(request_id, End.DROPPED)) is not None:
+                    request.asked.refused(retry_after_ns)
+            case FailRequest(request_id):
+                if (request := self._ended(request_id, End.FAILED)) is not None:
+                    request.asked.failed(request.last is AttemptOutcome.TIMEOUT)
+            case CancelAttempt(request_id, attempt):
+                request = self._requests.get(request_id)
                 if request is not None and attempt in request.out:
                     request.out[attempt].cancel()
-            case CloseIdle(server):
+            case CloseIdleConnections(server):
                 self._upstream.close_idle(server)
-            case Subscribe(want):
+            case SubscribeServerList(want):
                 if self.asks is not None:
                     self.asks.subscribe(want)
-            case Fetch():
+            case FetchServerList():
                 if self.asks is not None:
                     self.asks.fetch()
-            case Note(text):
+            case LogMessage(text):
                 print(f"note: {text}", file=sys.stderr, flush=True)
-            case Tell():
+            case SendPeerMessage():
                 raise NotImplementedError("this deployment has no peers")
 
-    def _submit(self, tid: str, server: str, abandon_ns: int) -> None:
-        request = self._requests[tid]
+    def _submit(self, request_id: str, server: str, deadline_ns: int) -> None:
+        request = self._requests[request_id]
         number, request.attempts = request.attempts, request.attempts + 1
         sent = self._clock()
-        abandon = abandon_ns or sent + self._settings.classes[request.cls].deadline_ns
+        abandon = deadline_ns or sent + self._settings.classes[request.cls].deadline_ns
 
-        def ended(how: How, answer: Answered | None) -> None:
+        def ended(how: AttemptOutcome, answer: Answered | None) -> None:
             request.out.pop(number, None)
             self._outcome(request, how, answer, sent, server, number)
 
@@ -274,7 +274,7 @@
             if exchange is not None and request.growing:
                 exchange.grow()
         if exchange is None:
-            ended(How.MOOT, None)
+            ended(AttemptOutcome.MOOT, None)
         else:
             request.out[number] = exchange
             if not request.oneway:
@@ -295,7 +295,7 @@
         request.maybe_ran = True
         self._close(request)
         lag = self._clock() - max(sent, request.whole_at)
-        self.deliver(Response(request.tid, How.OK, lag, server, number, True, {}))
+        self.deliver(AttemptFinished(request.request_id, AttemptOutcome.OK, lag, server, number, True, {}))
         request.asked.begun(answer)
 
     def _flowed(self, request: Request, whole: bool) -> None:
@@ -315,38 +315,44 @@
         if not request.over:
             self._finish(request, End.PASSED)
             request.asked.served(None)
-            self.deliver(Hangup(request.tid))
+            self.deliver(ClientDisconnected(request.request_id))
 
     def _outcome(
-        self, request: Request, how: How, answer: Answered | None, sent: int, server: str, number: int
+        self,
+        request: Request,
+        how: AttemptOutcome,
+        answer: Answered | None,
+        sent: int,
+        server: str,
+        number: int,
     ) -> None:
         if number == request.told:
-            self._flowed(request, how is How.OK)
+            self._flowed(request, how is AttemptOutcome.OK)
             return
         request.maybe_ran = request.maybe_ran or how not in NEVER_RAN
         request.last = how
-        if how is How.OK and answer is not None and not request.over:
+        if how is AttemptOutcome.OK and answer is not None and not request.over:
             self._finish(request, End.PASSED)
             request.asked.served(answer)
-        if how is How.CONNECT_FAILED:
+        if how is AttemptOutcome.CONNECT_FAILED:
             self._refused_by(server)
         lag = self._clock() - max(sent, request.whole_at)
-        if how is How.OK and answer is not None:
+        if how is AttemptOutcome.OK and answer is not None:
             lag = max(1, lag - int(answer.transfer_s * 1e9))
         load = answer.riding() if answer is not None else {}
-        self.deliver(Response(request.tid, how, lag, server, number, request.over, load))
+        self.deliver(AttemptFinished(request.request_id, how, lag, server, number, request.over, load))
         self._forget(request)
 
     def _probe(self, server: str) -> None:
         sent = self._clock()
 
-        def ended(how: How, answer: Answered | None) -> None:
+        def ended(how: AttemptOutcome, answer: Answered | None) -> None:
             load = answer.report() if answer is not None else {}
-            self.deliver(Echo(server, how, self._clock() - sent, load))
+            self.deliver(ProbeResult(server, how, self._clock() - sent, load))
 
         exchange = self._upstream.probe(server, self._probe_limit_s, ended)
         if exchange is None:
-            ended(How.MOOT, None)
+            ended(AttemptOutcome.MOOT, None)
         else:
             exchange.start()
 
@@ -359,13 +365,13 @@
             # clock and would let an early alarm pass for good.
             self._loop.call_later(0.001, self._alarm, due_ns, tag)
         else:
-            self.deliver(Alarm(tag))
+            self.deliver(TimerFired(tag))
 
     # --- ends of requests
 
-    def _ended(self, tid: str, how: End) -> Request | None:
+    def _ended(self, request_id: str, how: End) -> Request | None:
         """The request, if it is still owed its end; whoever asks gives it."""
-        request = self._requests.get(tid)
+        request = self._requests.get(request_id)
         if request is None or request.over:
             return None
         self._finish(request, how)
@@ -393,22 +399,22 @@
 
     def _forget(self, request: Request) -> None:
         if request.over and not request.out:
-            self._requests.pop(request.tid, None)
+            self._requests.pop(request.request_id, None)
 
     def _guard(self, request: Request) -> None:
         """The client's time is nearly up and nothing has answered: no path may leave a request open."""
         if not request.over:
-            print(f"guard: request {request.tid} had no answer in time", file=sys.stderr, flush=True)
+            print(f"guard: request {request.request_id} had no answer in time", file=sys.stderr, flush=True)
             self._give_up(request, lambda: request.asked.failed(True))
 
     def _give_up(self, request: Request, end: Callable[[], None]) -> None:
         """End it without the module, truthfully: with a refusal only if no attempt can have run."""
-        free = self._settings.classes[request.cls].repeat == "free"
+        free = self._settings.classes[request.cls].retry_safety == "free"
         ran = request.maybe_ran or bool(request.out)
         truly = ran and not free
-        if self._ended(request.tid, End.FAILED if truly else End.DROPPED) is not None:
+        if self._ended(request.request_id, End.FAILED if truly else End.DROPPED) is not None:
             if truly:
                 end()
             else:
                 request.asked.refused(0)
-        self.deliver(Hangup(request.tid))  # for the module it is over, too
+        self.deliver(ClientDisconnected(request.request_id))  # for the module it is over, too
--- a/hollyport/guests/guest.py
+++ b/hollyport/guests/guest.py
@@ -16,7 +16,7 @@
 class Taken(Protocol):
     """What a guest's requests are to it; all else is the front's and the core's."""
 
-    tid: str
+    request_id: str
 
 
 M = TypeVar("M", bound=Taken)
--- a/hollyport/http/admission.py
+++ b/hollyport/http/admission.py
@@ -40,11 +40,11 @@
             return 404
         number, cls = found
         # The method tells how the request may be repeated: one that contradicts its class is a mistake.
-        if message.method != (b"GET" if cls.repeat == "free" else b"POST"):
+        if message.method != (b"GET" if cls.retry_safety == "free" else b"POST"):
             return 405
         if message.method == b"GET" and (message.body or message.length):
             return 400
-        if (cls.repeat == "guarded") != (b"idempotency-key" in told):
+        if (cls.retry_safety == "guarded") != (b"idempotency-key" in told):
             return 400
         wait = cls.deadline_ns
         timeout = told.get(b"x-timeout")
--- a/hollyport/http/back.py
+++ b/hollyport/http/back.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from dunefield.interface import How
+from dunefield.interface import AttemptOutcome
 from hollyport.bodies.flow import Flow
 from hollyport.bodies.ledger import Ledger
 from hollyport.http import heads
@@ -42,13 +42,13 @@
         return next((value for key, value in self.headers if key == name), None)
 
     @property
-    def how(self) -> How:
+    def how(self) -> AttemptOutcome:
         """What an answer says of the attempt; only a server that says so has not run it."""
         if self.status == 200:
-            return How.OK
+            return AttemptOutcome.OK
         if self.status in (503, 504) and self.header(b"x-not-processed") == b"1":
-            return How.FULL
-        return How.ERROR
+            return AttemptOutcome.FULL
+        return AttemptOutcome.ERROR
 
     def riding(self) -> dict[str, float]:
         """The load report that rides along with an answer."""
--- a/hollyport/http/message.py
+++ b/hollyport/http/message.py
@@ -47,8 +47,8 @@
 class Message:
     """One request as it came, and where its one answer goes."""
 
-    __slots__ = ("method", "target", "headers", "body", "keep_alive", "connection", "came", "tid", "_head",
-                 "length", "terms", "flow", "old")  # fmt: skip
+    __slots__ = ("method", "target", "headers", "body", "keep_alive", "connection", "came", "request_id",
+                 "_head", "length", "terms", "flow", "old")  # fmt: skip
 
     def __init__(self, connection: Answering) -> None:
         self.connection = connection
@@ -56,7 +56,7 @@
         self.headers: Headers = []
         self.keep_alive = True
         self.came = 0.0  # when its last byte was read, by the loop's clock
-        self.tid = ""  # for the owner: which request this became
+        self.request_id = ""  # for the owner: which request this became
         self._head = b""  # as it goes on, once it has been made
         self.length: int | None = None  # of the body, as the head tells it
         self.terms: Terms | None = None  # read from the head alone, where the body is too large to wait for
--- a/hollyport/lists/discovery.py
+++ b/hollyport/lists/discovery.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from dunefield.interface import Entry, Settings
+from dunefield.interface import ServerEntry, Settings
 from hollyport.core.contract import Answered
 from hollyport.http.back import Connection, Reply
 from hollyport.settings.config import Address, parse_address
@@ -26,7 +26,7 @@
 class Line(NamedTuple):
     """One line of the list: what the module sees, and where to connect."""
 
-    entry: Entry
+    entry: ServerEntry
     address: Address
     protocol: str = ""  # what it says that it speaks; "" where it is silent on that
 
@@ -67,7 +67,7 @@
         raise ValueError("weight is not finite")
     zone, kind = item.get("zone"), item.get("type")
     return Line(
-        Entry(
+        ServerEntry(
             name,
             settings.zones.index(zone) if zone in settings.zones else -1,
             settings.kinds.index(kind) if kind in settings.kinds else -1,
@@ -103,7 +103,7 @@
         self._host = f"{address.host}:{address.port}".encode()
         # A call that waits must come back well before the list would count as too old; and while it waits, a
         # connection that has fallen silent looks like a list without news.
-        self._wait_ms = min(settings.invariants.must_ask_in_ns // 4, LONGEST_WAIT_NS) // 1_000_000
+        self._wait_ms = min(settings.invariants.subscribe_within_ns // 4, LONGEST_WAIT_NS) // 1_000_000
         self._watch: asyncio.Task[None] | None = None
         self._fetches: set[asyncio.Task[None]] = set()
 
--- a/hollyport/nodes/upstream.py
+++ b/hollyport/nodes/upstream.py
@@ -10,7 +10,7 @@
 from itertools import chain
 from typing import Any
 
-from dunefield.interface import IDLE_SHARE, How
+from dunefield.interface import IDLE_TIMEOUT_FRACTION, AttemptOutcome
 from hollyport.core.contract import Answered, Ended
 from hollyport.nodes.back import Back
 from hollyport.nodes.carrier import Carrier
@@ -53,21 +53,23 @@
     def start(self) -> None:
         """Write to a pooled connection, or to a new one once it is up."""
         if self._give_up <= self._loop.time():
-            self._end(How.MOOT)
+            self._end(AttemptOutcome.MOOT)
             return
         connection = self._upstream.take(self._target)
         if connection is not None:
             self._write(connection)
         elif not self._upstream.make_room():
-            self._end(How.MOOT)  # our own want of descriptors is no verdict on the server
+            self._end(AttemptOutcome.MOOT)  # our own want of descriptors is no verdict on the server
         else:
             # A connection that comes up after its call has run out still goes to the pool: it is paid for.
-            self._timer = self._loop.call_later(self._give_up - self._loop.time(), self._end, How.MOOT)
+            self._timer = self._loop.call_later(
+                self._give_up - self._loop.time(), self._end, AttemptOutcome.MOOT
+            )
             self._connecting = self._loop.create_task(self._connect())
 
     def cancel(self) -> None:
         """Stop waiting; what was written may have run."""
-        self._end(How.CANCELLED if self._connection is not None else How.MOOT)
+        self._end(AttemptOutcome.CANCELLED if self._connection is not None else AttemptOutcome.MOOT)
 
     async def _connect(self) -> None:
         target, address = self._target, self._target.address
@@ -75,12 +77,12 @@
             connection = await self._upstream.connect(address, target.back)
         except OSError as error:
             # Our own want of descriptors, ports or memory is no verdict on the server.
-            self._end(How.MOOT if error.errno in OWN_WANT else How.CONNECT_FAILED)
+            self._end(AttemptOutcome.MOOT if error.errno in OWN_WANT else AttemptOutcome.CONNECT_FAILED)
             return
         except Exception:
             # Whatever went wrong, the attempt is over and must be told so, or its request would hang on it.
             traceback.print_exc(file=sys.stderr)
-            self._end(How.CONNECT_FAILED)
+            self._end(AttemptOutcome.CONNECT_FAILED)
             return
         if self._over:
             self._upstream.release(target, connection)
@@ -88,7 +90,7 @@
             # Connecting takes time in which the server may have begun to drain or the call have run out:
             # look again before the first byte, for a send counts from there.
             self._upstream.release(target, connection)
-            self._end(How.MOOT)
+            self._end(AttemptOutcome.MOOT)
         else:
             self._write(connection)
 
@@ -121,7 +123,7 @@
         self._timer = self._loop.call_later(at - self._loop.time(), late)
 
     def _end_moot(self) -> None:
-        self._end(How.MOOT)
+        self._end(AttemptOutcome.MOOT)
 
     def _answer_begun(self, flowing: Any) -> None:
         if self._over or self.on_begun is None:
@@ -135,18 +137,18 @@
     def _timed_out(self) -> None:
         # A request that never went out whole can't have run: servers begin with its last byte.
         assert self._connection is not None
-        self._end(How.TIMEOUT if self._connection.written else How.CONNECT_FAILED)
+        self._end(AttemptOutcome.TIMEOUT if self._connection.written else AttemptOutcome.CONNECT_FAILED)
 
     def _replied(self, answer: Answered | None) -> None:
         connection, self._connection = self._connection, None
         assert connection is not None
         if answer is None:
             if not connection.written:
-                self._end(How.CONNECT_FAILED)
+                self._end(AttemptOutcome.CONNECT_FAILED)
             else:
                 # A spoilt answer may come from any server and says nothing of its health, as a reset would:
                 # it is we who withdraw, from a request that has run.
-                self._end(How.CANCELLED if connection.spoilt else How.RESET)
+                self._end(AttemptOutcome.CANCELLED if connection.spoilt else AttemptOutcome.RESET)
             return
         if connection.written:
             self._upstream.release(self._target, connection)
@@ -154,7 +156,7 @@
             connection.abort()  # answered before the request was out: what is left of it would follow
         self._end(answer.how, answer)
 
-    def _end(self, how: How, answer: Answered | None = None) -> None:
+    def _end(self, how: AttemptOutcome, answer: Answered | None = None) -> None:
         if self._over:
             return
         self._over = True
@@ -181,7 +183,7 @@
     ) -> None:
         self.loop = loop
         self.connect_timeout_s = connect_timeout_ns / 1e9
-        self._idle_s = idle_ns / 1e9 * IDLE_SHARE
+        self._idle_s = idle_ns / 1e9 * IDLE_TIMEOUT_FRACTION
         self._most = most
         self._stall_s = stall_s
         self._back = back  # of nodes that are told without one
--- a/hollyport/registries/feed.py
+++ b/hollyport/registries/feed.py
@@ -48,7 +48,7 @@
         self._version = 0
         self._closed = False
         self._watching = False
-        must_ask_s = settings.invariants.must_ask_in_ns / SECOND
+        must_ask_s = settings.invariants.subscribe_within_ns / SECOND
         self._pauses = (must_ask_s / 16, must_ask_s / 4)  # least and most, between watches that fail
         self._pause_s = self._pauses[0]
         self._draw = random.Random(f"{seed}/feed").random
@@ -77,7 +77,7 @@
                 self._registrar = Registrar(options.eureka, options.eureka.registration)
                 self._tasks.append(loop.create_task(self._registrar.follow()))
         loop.call_later(LOOK_S, self._look)
-        if settings.must_ask:
+        if settings.must_subscribe:
             loop.call_soon(self._watch)
 
     def _rules(self, options: RegistryOptions) -> Rules:
@@ -178,7 +178,7 @@
             self._platform_version = None
             self._platform = self._open(address)
             self._watching = False
-            if self._settings.must_ask:  # else whoever follows it follows the new one
+            if self._settings.must_subscribe:  # else whoever follows it follows the new one
                 self._watch()
 
     def take_options(self, options: RegistryOptions) -> None:
--- a/hollyport/registries/merge.py
+++ b/hollyport/registries/merge.py
@@ -28,7 +28,7 @@
 from typing import TypeVar
 from zlib import crc32
 
-from dunefield.interface import SECOND, Entry
+from dunefield.interface import SECOND, ServerEntry
 from hollyport.lists.discovery import Line
 from hollyport.registries.record import DRAINING, UP, WAITING, Change, Record
 from hollyport.settings.config import Address
@@ -469,7 +469,7 @@
                 record = node.record
                 lifecycle = "up" if node.status == UP else "draining"
                 line = Line(
-                    Entry(
+                    ServerEntry(
                         node.name,
                         record.hall,
                         record.kind,
--- a/hollyport/sidecar.py
+++ b/hollyport/sidecar.py
@@ -9,7 +9,7 @@
 import sys
 from typing import TYPE_CHECKING, Any
 
-from dunefield.interface import Directory
+from dunefield.interface import ServerListUpdate
 from hollyport.bodies.ledger import Ledger
 from hollyport.core.clock import Beat, Clock
 from hollyport.core.ids import Ids
@@ -68,9 +68,9 @@
         self._upstream = Upstream(
             loop,
             limits.connect_timeout_ns,
-            limits.conn_idle_ns,
+            limits.connection_idle_ns,
             part.servers,
-            min(c.aim_ns for c in settings.classes) / 2e9,
+            min(c.target_ns for c in settings.classes) / 2e9,
             HttpBack(settings.reports != "none", ledger),
         )
         self._beat, self._ids = Beat(loop), Ids(2 * self._longest_ns / 1e9)
@@ -143,7 +143,7 @@
         self._take_list(known, "SAVED")
         if shared is None:
             self._list_known()
-        self._pushed = None if settings.must_ask else loop.create_task(self._discovery.follow())
+        self._pushed = None if settings.must_subscribe else loop.create_task(self._discovery.follow())
 
     # --- life
 
@@ -389,7 +389,7 @@
     def _told(self, listing: Listing | None) -> None:
         if listing is None:
             for core in self._cores.values():
-                core.deliver(Directory("FAILED"))
+                core.deliver(ServerListUpdate("FAILED"))
         else:
             self._take_list(listing, "FULL" if listing.whole else "INCREMENTAL")
             self._list_known()
@@ -411,7 +411,7 @@
             self._upstream.keep_only({line.entry.server for line in lines})
         for pool, share in shares.items():
             entries = tuple(line.entry for line in share.lines)
-            self._cores[pool].deliver(Directory(scope, entries, share.version))
+            self._cores[pool].deliver(ServerListUpdate(scope, entries, share.version))
 
 
 def _only_http(line: Line) -> Line:
--- a/hollyport/thrift/back.py
+++ b/hollyport/thrift/back.py
@@ -9,7 +9,7 @@
 from functools import lru_cache
 from typing import Any, NamedTuple
 
-from dunefield.interface import How
+from dunefield.interface import AttemptOutcome
 from hollyport.http.heads import COMMON_LOAD, MOST_LOAD
 from hollyport.nodes.back import Beside
 from hollyport.nodes.carrier import Carrier
@@ -40,7 +40,7 @@
     """One whole answer, or the end of a oneway call."""
 
     message: Message | None
-    how: How
+    how: AttemptOutcome
     load: dict[str, float]
     transfer_s: float = 0.0  # calls are short, and answered in one piece
 
@@ -139,7 +139,7 @@
     def _settled(self) -> None:
         # Nobody knows how it went: withdrawn tells the module that, and no more.
         self._settling = None
-        self._finish(Answer(None, How.CANCELLED, {}))
+        self._finish(Answer(None, AttemptOutcome.CANCELLED, {}))
 
     def _read(self, data: bytes) -> None:
         self._messages.feed(data)
@@ -165,16 +165,16 @@
             raise Malformed(why)
         protocol = message.form.protocol
         if self._asked_load and head.kind == REPLY:
-            return Answer(message, How.OK, self._load(message))
+            return Answer(message, AttemptOutcome.OK, self._load(message))
         if message.form.framed:
             whole(message)  # the client would take what is behind it for the next answer
         if head.kind == EXCEPTION and self._behind:
-            return Answer(None, How.CANCELLED, {})  # over it is, but how it went is not told
+            return Answer(None, AttemptOutcome.CANCELLED, {})  # over it is, but how it went is not told
         if head.kind == EXCEPTION:
             kind = find(protocol, message.data, head.body_at, (2,))
-            how = How.FULL if kind == LOADSHEDDING else How.ERROR
+            how = AttemptOutcome.FULL if kind == LOADSHEDDING else AttemptOutcome.ERROR
             return Answer(message, how, {})
-        return Answer(message, How.OK, {})
+        return Answer(message, AttemptOutcome.OK, {})
 
     def _load(self, message: Message) -> dict[str, float]:
         probe, body = self._probe, message.data[message.head.body_at :]
--- a/hollyport/thrift/front.py
+++ b/hollyport/thrift/front.py
@@ -48,11 +48,11 @@
 class Call:
     """One call as it came, and where its one answer goes (hollyport.core.contract.Asked)."""
 
-    __slots__ = ("connection", "message", "came", "tid", "terms", "_over")
+    __slots__ = ("connection", "message", "came", "request_id", "terms", "_over")
 
     def __init__(self, connection: ThriftGuest, message: Message, came: float) -> None:
         self.connection, self.message, self.came = connection, message, came
-        self.tid = ""
+        self.request_id = ""
         self.terms: Terms | None = None  # once it is known to be of use
         self._over = False
 
--- a/hollyport/thrift/gateway.py
+++ b/hollyport/thrift/gateway.py
@@ -66,7 +66,7 @@
         cls = classes.get(method.cls)
         if cls is None:
             raise BadValue(("methods", number, "class"), f"no such class: {method.cls!r}")
-        if cls.repeat == "guarded" and not method.once:
+        if cls.retry_safety == "guarded" and not method.once:
             what = f"must be told: {cls.name} is a keyed class"
             raise BadValue(("methods", number, "idempotency_key"), what)
     members = {t.name for t in settings.tenants}
@@ -114,7 +114,7 @@
             door = Door(
                 service, methods, None if told.form == DETECT else FORMS[told.form], options.most,
                 lambda host, default=default: self._origin(members.of(host, default)),  # type: ignore[misc]
-                tuple(c.aim_ns / SECOND for c in settings.classes),
+                tuple(c.target_ns / SECOND for c in settings.classes),
                 tuple(c.name for c in settings.classes), counters.add,
             )  # fmt: skip
             part = max(1, most // len(options.listeners))
--- a/hollyport/thrift/methods.py
+++ b/hollyport/thrift/methods.py
@@ -90,7 +90,7 @@
             tenant = self._tenants.get(told, -1 if self._tenants else 0)
         key = self._read(call, method.key)
         text = "" if key is None else str(key) if isinstance(key, int) else key[:MOST_KEY].decode("latin-1")
-        if cls.repeat == "guarded" and self._read(call, method.once) in (None, b""):
+        if cls.retry_safety == "guarded" and self._read(call, method.once) in (None, b""):
             raise Unusable("a call of this class needs its idempotency key")
         oneway = method.oneway or call.head.kind == ONEWAY
         return Terms(name, method.cls, wait, 0, tenant, text, oneway=oneway)
--- a/mesh/proxy/forwarder.py
+++ b/mesh/proxy/forwarder.py
@@ -88,7 +88,7 @@
     def submit(self, request: PendingRequest) -> None:
         """Take a request until it is answered."""
         now = self._context.now()
-        request.message.tid = "open"
+        request.message.request_id = "open"
         self._budget(request.service).asked(now)
         self._context.open_requests += 1
         wait_s = max(0.0, request.deadline - now - HOP_S)
--- a/mesh/proxy/server_queue.py
+++ b/mesh/proxy/server_queue.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from dunefield.budget import STEPS, Budget
-from dunefield.interface import IDLE_SHARE, How
+from dunefield.interface import IDLE_TIMEOUT_FRACTION, AttemptOutcome
 from hollyport.http.back import HttpBack, Reply
 from hollyport.nodes.upstream import Exchange, Upstream
 from hollyport.settings.config import Address as NodeAddress
@@ -135,7 +135,7 @@
         self.upstream.update(name, self._address, 0, True)
         request = b"GET %s HTTP/1.1\r\nHost: sidecar\r\n\r\n" % path.encode()
 
-        def ended(how: How, answer: Any) -> None:
+        def ended(how: AttemptOutcome, answer: Any) -> None:
             self.upstream.remove(name)
             reply: Reply | None = answer
             told = reply.header(b"x-instance-id") if reply is not None and reply.status == 200 else None
@@ -340,7 +340,7 @@
             job.timer = self._loop.call_later(OVERDUE * self.takes(job.kind), job.overdue)
         exchange.start()
 
-    def _ended(self, job: Job, instance: str, how: How, answer: Any) -> None:
+    def _ended(self, job: Job, instance: str, how: AttemptOutcome, answer: Any) -> None:
         self.out -= 1
         now = self._loop.time()
         if job.timer is not None:
@@ -367,13 +367,15 @@
             self._end(job, None, True, reply)
         else:
             fault, arrived = ErrorKind.BROKEN, True
-            if how == How.TIMEOUT:
+            if how == AttemptOutcome.TIMEOUT:
                 fault = ErrorKind.LATE
-            elif how in (How.MOOT, How.CONNECT_FAILED) and not self._written(job):
+            elif how in (AttemptOutcome.MOOT, AttemptOutcome.CONNECT_FAILED) and not self._written(job):
                 fault, arrived = ErrorKind.FULL, False
-            if current and how != How.MOOT and not job.withdrawn:  # what was broken off here tells nothing
+            if (
+                current and how != AttemptOutcome.MOOT and not job.withdrawn
+            ):  # what was broken off here tells nothing
                 self._judge(True)
-                self._failed(now, trial, how in (How.CONNECT_FAILED, How.RESET))
+                self._failed(now, trial, how in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET))
             self._end(job, fault, arrived)
         self._pump()
 
@@ -412,7 +414,7 @@
         """How long the server keeps idle connections, where it tells."""
         kept = reply.header(b"keep-alive")
         if kept is not None and kept.startswith(b"timeout=") and kept[8:].isdigit():
-            self.upstream.keep(min(KEPT_S, float(kept[8:]) * 1.5) * IDLE_SHARE)
+            self.upstream.keep(min(KEPT_S, float(kept[8:]) * 1.5) * IDLE_TIMEOUT_FRACTION)
 
     def _end(self, job: Job, fault: ErrorKind | None, arrived: bool, reply: Reply | None = None) -> None:
         if not job.over:
--- a/tests/build.py
+++ b/tests/build.py
@@ -4,7 +4,16 @@
 
 from typing import Any
 
-from dunefield import Accept, Balancer, Directory, Entry, How, Response, Settings, Submit
+from dunefield import (
+    AttemptFinished,
+    AttemptOutcome,
+    Balancer,
+    RequestArrived,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
+    Settings,
+)
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -43,10 +52,12 @@
     return Settings.parse(raw)
 
 
-def fleet(count: int, lifecycle: str = "up", started_ns: int = 0) -> Directory:
-    return Directory(
+def fleet(count: int, lifecycle: str = "up", started_ns: int = 0) -> ServerListUpdate:
+    return ServerListUpdate(
         "FULL",
-        tuple(Entry(f"10.0.0.{i}:80", i % 2, 0, i // 2, lifecycle, 1.0, started_ns) for i in range(count)),
+        tuple(
+            ServerEntry(f"10.0.0.{i}:80", i % 2, 0, i // 2, lifecycle, 1.0, started_ns) for i in range(count)
+        ),
     )
 
 
@@ -57,14 +68,16 @@
     return made
 
 
-def accept(tid: str, cls: int = 0, ttl_ns: int = SECOND) -> Accept:
-    return Accept(tid, cls, ttl_ns)
+def accept(request_id: str, cls: int = 0, timeout_ns: int = SECOND) -> RequestArrived:
+    return RequestArrived(request_id, cls, timeout_ns)
 
 
 def outcome(
-    send: Submit, how: int = How.OK, lag_ns: int = 50 * MS, attempt: int = 0, **more: Any
-) -> Response:
-    return Response(send.tid, how, lag_ns, send.server, attempt, how == How.OK, **more)
+    send: SendAttempt, how: int = AttemptOutcome.OK, latency_ns: int = 50 * MS, attempt: int = 0, **more: Any
+) -> AttemptFinished:
+    return AttemptFinished(
+        send.request_id, how, latency_ns, send.server, attempt, how == AttemptOutcome.OK, **more
+    )
 
 
 def only(actions: list[Any], kind: type) -> list[Any]:
--- a/tests/core/test_pools.py
+++ b/tests/core/test_pools.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from tongues import THRIFT, Asked, Http, Node, Talk, World, sidecar
 
-from dunefield import Entry
+from dunefield import ServerEntry
 from hollyport.lists.discovery import Line, Listing, read_listing
 from hollyport.lists.pools import NodeRule, Pools
 from hollyport.settings.config import Address
@@ -21,7 +21,7 @@
 
 
 def line(name, protocol="", lifecycle="up", host="10.0.0.1", port=80, zone=0, kind=0) -> Line:
-    return Line(Entry(name, zone, kind, 0, lifecycle), Address(host, port), protocol)
+    return Line(ServerEntry(name, zone, kind, 0, lifecycle), Address(host, port), protocol)
 
 
 def pools(*rules, note=lambda text: None) -> Pools:
--- a/tests/emulator/test_hard.py
+++ b/tests/emulator/test_hard.py
@@ -5,7 +5,7 @@
 import pytest
 from build import accept, fleet, only, outcome
 
-from dunefield import Balancer, Directory, How, Settings, Submit
+from dunefield import AttemptOutcome, Balancer, SendAttempt, ServerListUpdate, Settings
 from emulator.day import MS, Day
 from emulator.fleet import Fleet
 from emulator.watch import Broken, watched
@@ -144,7 +144,7 @@
     class Counted(Balancer):
         def handle(self, now, event):
             acts = super().handle(now, event)
-            got.extend((now, act.server) for act in acts if isinstance(act, Submit))
+            got.extend((now, act.server) for act in acts if isinstance(act, SendAttempt))
             return acts
 
     cold = []
@@ -168,14 +168,14 @@
 
     def handle(self, now, event):
         acts = super().handle(now, event)
-        return acts + [act for act in acts if type(act).__name__ == "Refuse"]
+        return acts + [act for act in acts if type(act).__name__ == "RefuseRequest"]
 
 
 class Deaf(Balancer):
     """Never hears that a server leaves."""
 
     def handle(self, now, event):
-        if isinstance(event, Directory) and event.scope == "INCREMENTAL":
+        if isinstance(event, ServerListUpdate) and event.scope == "INCREMENTAL":
             event = event._replace(entries=tuple(e for e in event.entries if e.lifecycle == "up"))
         return super().handle(now, event)
 
@@ -206,7 +206,7 @@
 def test_a_call_after_its_end_is_seen():
     made = watched(Balancer)(Day().told(0), 1, 0)
     made.handle(0, fleet(2))
-    send = only(made.handle(0, accept("a")), Submit)[0]
-    made.handle(MS, outcome(send, How.OK))
+    send = only(made.handle(0, accept("a")), SendAttempt)[0]
+    made.handle(MS, outcome(send, AttemptOutcome.OK))
     with pytest.raises(Broken, match="after the end"):
         made.witness.did(2 * MS, send)
--- a/tests/emulator/test_soak.py
+++ b/tests/emulator/test_soak.py
@@ -151,9 +151,9 @@
         super().__init__(settings, seed, now)
         self.owed, self.plain, self.book.drop = {}, self.book.drop, self.drop
 
-    def drop(self, tid):
-        self.owed[tid] = self.book.calls.get(tid)
-        self.plain(tid)
+    def drop(self, request_id):
+        self.owed[request_id] = self.book.calls.get(request_id)
+        self.plain(request_id)
 
 
 @pytest.mark.parametrize("module, table", [(Hoarder, "book.servers"), (Debtor, "owed")])
--- a/tests/emulator/test_whole.py
+++ b/tests/emulator/test_whole.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dunefield import Accept, Balancer, Probe, Submit, Subscribe
+from dunefield import Balancer, ProbeServer, RequestArrived, SendAttempt, SubscribeServerList
 from emulator.day import MS, Day
 from emulator.fleet import Fleet, play
 from emulator.worth import SECOND
@@ -79,7 +79,7 @@
 def test_clients_ask_again_when_their_time_has_run_out():
     class Mute(Balancer):
         def handle(self, now, event):
-            return [] if isinstance(event, Accept) else super().handle(now, event)
+            return [] if isinstance(event, RequestArrived) else super().handle(now, event)
 
     fleet = play(SMALL, 2, Mute)
     assert {request.end for request in fleet.asked} == {"failed"}
@@ -95,7 +95,7 @@
         def handle(self, now, event):
             acts = super().handle(now, event)
             done.update(type(act) for act in acts)
-            pairs.update((id(self), act.server) for act in acts if isinstance(act, Submit))
+            pairs.update((id(self), act.server) for act in acts if isinstance(act, SendAttempt))
             return acts
 
     def still(fleet):
@@ -103,8 +103,8 @@
             machine.fault = "silent"
 
     spent = play(SMALL, 4, Counted, troubles=[still]).spent
-    assert spent.attempts == done[Submit] and spent.probes == done[Probe] > 0
-    assert spent.lists == done[Subscribe]
+    assert spent.attempts == done[SendAttempt] and spent.probes == done[ProbeServer] > 0
+    assert spent.lists == done[SubscribeServerList]
     assert 0.7 * len(pairs) < spent.handshakes < 0.6 * spent.attempts
     short = play(replace(SMALL, idle_ns=SECOND // 4), 4, troubles=[still]).spent
     assert short.handshakes > 1.5 * spent.handshakes  # what is idle for long is retired
@@ -114,7 +114,7 @@
     class Wrong(Balancer):
         def handle(self, now, event):
             done = super().handle(now, event)
-            return [*done, Submit("never", "s", now + MS)] if now > 2 * SECOND else done
+            return [*done, SendAttempt("never", "s", now + MS)] if now > 2 * SECOND else done
 
     with pytest.raises(AssertionError, match="which has ended"):
         play(SMALL, 1, Wrong)
--- a/tests/mesh/test_mesh_server_queue.py
+++ b/tests/mesh/test_mesh_server_queue.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dunefield.interface import How
+from dunefield.interface import AttemptOutcome
 from hollyport.http.back import Reply
 from mesh.errors import ErrorKind
 from mesh.proxy.server_queue import Job, ServerQueue
@@ -58,11 +58,11 @@
         self.wire.sent.append(self)
 
     def cancel(self):
-        self.end(How.CANCELLED, self.touched)
+        self.end(AttemptOutcome.CANCELLED, self.touched)
 
     def reply(self, status=200, headers=(SEAL,)):
         self.wire.sent.remove(self)
-        self.ended(How.OK, Reply(status, list(headers), b"body"))
+        self.ended(AttemptOutcome.OK, Reply(status, list(headers), b"body"))
 
     def end(self, how, touched=True):
         self.touched = touched
@@ -157,12 +157,12 @@
 @pytest.mark.parametrize(
     ("how", "touched", "fault", "arrived"),
     [
-        (How.RESET, True, ErrorKind.BROKEN, True),
-        (How.TIMEOUT, True, ErrorKind.LATE, True),
-        (How.CANCELLED, True, ErrorKind.BROKEN, True),
-        (How.CONNECT_FAILED, False, ErrorKind.FULL, False),
-        (How.MOOT, False, ErrorKind.FULL, False),
-        (How.CONNECT_FAILED, True, ErrorKind.BROKEN, True),
+        (AttemptOutcome.RESET, True, ErrorKind.BROKEN, True),
+        (AttemptOutcome.TIMEOUT, True, ErrorKind.LATE, True),
+        (AttemptOutcome.CANCELLED, True, ErrorKind.BROKEN, True),
+        (AttemptOutcome.CONNECT_FAILED, False, ErrorKind.FULL, False),
+        (AttemptOutcome.MOOT, False, ErrorKind.FULL, False),
+        (AttemptOutcome.CONNECT_FAILED, True, ErrorKind.BROKEN, True),
     ],
 )
 def test_only_what_was_never_written_is_promised_not_to_have_run(server_queue, how, touched, fault, arrived):
@@ -193,7 +193,7 @@
 def test_resets_lower_k_to_zero_and_one_trial_brings_it_back(server_queue):
     told = []
     server_queue.submit(job(server_queue, "a", 1, told=told))
-    server_queue.upstream.sent[0].end(How.RESET)
+    server_queue.upstream.sent[0].end(AttemptOutcome.RESET)
     assert server_queue.budget.k == 0
     server_queue.submit(job(server_queue, "b", 1, told=told))
     assert told[-1] == ("b", ErrorKind.FULL, False)
@@ -269,7 +269,7 @@
     server_queue._loop.now += 30.0
     assert server_queue.failing() < bad / 500, "who gets no calls for it can't show that it is well"
     server_queue.submit(job(server_queue, "broken", 9))
-    server_queue.upstream.sent[0].end(How.RESET)
+    server_queue.upstream.sent[0].end(AttemptOutcome.RESET)
     assert server_queue.failing() > 0.05
     server_queue.life("i-2", 4, 0.0, True)
     assert server_queue.failing() == 0.0, "another process is another server"
--- a/tests/rehearsal/broken.py
+++ b/tests/rehearsal/broken.py
@@ -11,7 +11,7 @@
 
 import hollyport.__main__ as program
 from dunefield import asking, promises, retries, rules
-from dunefield.interface import How
+from dunefield.interface import AttemptOutcome
 from hollyport import sidecar
 from hollyport.bodies import flow
 from hollyport.core import requests as core
@@ -54,12 +54,12 @@
 
 
 def resends_unsafe() -> None:
-    rules.NEVER_RAN = frozenset(How)  # whatever came of it, it is taken not to have run
+    rules.NEVER_RAN = frozenset(AttemptOutcome)  # whatever came of it, it is taken not to have run
     resend_at_once()
 
 
 def resends_after_reset() -> None:
-    rules.NEVER_RAN = rules.NEVER_RAN | {How.RESET}
+    rules.NEVER_RAN = rules.NEVER_RAN | {AttemptOutcome.RESET}
     resend_at_once()
 
 
@@ -87,8 +87,8 @@
 
     def echo(self, now, event):
         # Nor does it hear a node's own no to a probe: else a few sends at most are left to judge by.
-        if event.how == How.ERROR:
-            event = event._replace(how=How.OK, load={"inflight": 0.0, "queue": 0.0})
+        if event.outcome == AttemptOutcome.ERROR:
+            event = event._replace(outcome=AttemptOutcome.OK, load={"inflight": 0.0, "queue": 0.0})
         plain(self, now, event)
 
     asking.Asking.echo = echo
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -10,7 +10,16 @@
 from backend import listing, play, settings
 from tongues import PROBED, TONGUES, Asked, Node, Talk, sidecar
 
-from dunefield import Accept, Fail, Hangup, How, Probe, Refuse, Response, Submit
+from dunefield import (
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    FailRequest,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+)
 from hollyport.lists.discovery import read_listing
 
 SCENES = {}
@@ -117,7 +126,7 @@
         return [(await client.ask("single_shot")).what for _ in range(10)], len(node.calls)
 
 
-@scene(How.OK, True, 0)
+@scene(AttemptOutcome.OK, True, 0)
 async def a_client_that_leaves_still_leaves_the_module_its_outcome(tongue):
     came, go = asyncio.Event(), asyncio.Event()
 
@@ -132,12 +141,12 @@
         await client.send("single_shot")
         await came.wait()
         client.leave()
-        while not isinstance(await told.get(), Hangup):
+        while not isinstance(await told.get(), ClientDisconnected):
             pass
         go.set()
-        while not isinstance(event := await told.get(), Response):
+        while not isinstance(event := await told.get(), AttemptFinished):
             pass
-        return event.how, event.closed, len(world.core._requests)
+        return event.outcome, event.closed, len(world.core._requests)
 
 
 @scene(1, 0)
@@ -146,10 +155,10 @@
         told = world.watch()
         client = await world.client()
         await client.send("free")
-        assert isinstance(await told.get(), Accept)
+        assert isinstance(await told.get(), RequestArrived)
         held = len(world.core._requests)
         client.leave()
-        while not isinstance(await told.get(), Hangup):
+        while not isinstance(await told.get(), ClientDisconnected):
             pass
         return held, len(world.core._requests)
 
@@ -194,7 +203,7 @@
         module.handle = lambda now, event: []
         never_sent = (await client.ask("single_shot", timeout_s=0.2)).what
         module.handle = lambda now, event: (
-            [Submit(event.tid, "s1", now + 10**9)] if isinstance(event, Accept) else []
+            [SendAttempt(event.request_id, "s1", now + 10**9)] if isinstance(event, RequestArrived) else []
         )
         may_have_run = (await client.ask("single_shot", timeout_s=0.2)).what
         return never_sent, may_have_run, (await client.ask("free", timeout_s=0.2)).what
@@ -275,7 +284,7 @@
         return first, (await client.ask("free", timeout_s=0.5)).what, len(node.calls)
 
 
-@scene(How.MOOT, 0)
+@scene(AttemptOutcome.MOOT, 0)
 async def a_drain_told_between_connect_and_first_byte_stops_the_send(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         told = world.watch()
@@ -290,22 +299,24 @@
         upstream.connect = connect
         client = await world.client()
         await client.send("single_shot")
-        while not isinstance(event := await told.get(), Response):
+        while not isinstance(event := await told.get(), AttemptFinished):
             pass
-        return event.how, len(node.calls)
+        return event.outcome, len(node.calls)
 
 
-@scene(Refuse, 0.25, Fail, "failed")
+@scene(RefuseRequest, 0.25, FailRequest, "failed")
 async def the_modules_own_ends_are_told_with_when_to_come_back(tongue):
     async with sidecar(tongue) as world:
         client = await world.client()
         module = world.core._module
         module.handle = lambda now, event: (
-            [Refuse(event.tid, 250_000_000)] if isinstance(event, Accept) else []
+            [RefuseRequest(event.request_id, 250_000_000)] if isinstance(event, RequestArrived) else []
         )
         refused = await client.ask("free")
-        module.handle = lambda now, event: [Fail(event.tid)] if isinstance(event, Accept) else []
-        return Refuse, refused.again_s, Fail, (await client.ask("free")).what
+        module.handle = lambda now, event: (
+            [FailRequest(event.request_id)] if isinstance(event, RequestArrived) else []
+        )
+        return RefuseRequest, refused.again_s, FailRequest, (await client.ask("free")).what
 
 
 @scene("served", {"inflight": 3.0, "queue": 2.0})
@@ -321,8 +332,8 @@
             plain, talk.load = talk.load, load
             try:
                 told = world.watch()
-                world.core._perform(Probe("s1"))
-                while type(event := await told.get()).__name__ != "Echo":
+                world.core._perform(ProbeServer("s1"))
+                while type(event := await told.get()).__name__ != "ProbeResult":
                     pass
             finally:
                 talk.load = plain
--- a/tests/test_books.py
+++ b/tests/test_books.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dunefield import How, Submit
+from dunefield import AttemptOutcome, SendAttempt
 from dunefield.retries import Retries
 
 
@@ -27,7 +27,7 @@
     module.book.attempts = Unwalked()
     sent = []
     for number in range(60):
-        sent += only(module.handle(number * MS, accept(f"c{number}")), Submit)
+        sent += only(module.handle(number * MS, accept(f"c{number}")), SendAttempt)
     assert len(sent) > 40
     for number, send in enumerate(sent):
         module.handle((100 + number) * MS, outcome(send))
@@ -44,7 +44,9 @@
         test_an_answer_does_not_walk_through_what_other_servers_hold()
 
 
-ENDS = st.sampled_from([How.OK, How.ERROR, How.RESET, How.TIMEOUT])
+ENDS = st.sampled_from(
+    [AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT]
+)
 
 
 @given(steps=st.lists(st.tuples(st.integers(0, 6), ENDS), max_size=80))
@@ -58,8 +60,8 @@
         else:
             send, attempt = out.pop(turn % len(out))
             actions = module.handle(now, outcome(send, how, attempt=attempt))
-        for send in only(actions, Submit):
-            out.append((send, module.book.calls[send.tid].attempts - 1))
+        for send in only(actions, SendAttempt):
+            out.append((send, module.book.calls[send.request_id].attempts - 1))
         books = {key: entry for server in module.book.servers.values() for key, entry in server.out.items()}
         assert books == module.book.attempts
         assert all(len(s.out) == s.inflight for s in module.book.servers.values())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,14 +6,24 @@
 import pytest
 from build import MS, SECOND, accept, only, outcome, settings
 
-from dunefield import Alarm, Balancer, Directory, Echo, Entry, How, Probe, Submit, Subscribe
+from dunefield import (
+    AttemptOutcome,
+    Balancer,
+    ProbeResult,
+    ProbeServer,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
+    SubscribeServerList,
+    TimerFired,
+)
 from emulator.crowd import CLASSES, Crowd, nodes
 
 SIDECARS = 40
 
 
 def listed(count, first=0):
-    return tuple(Entry(f"s-{i:04x}", zone=i % 4) for i in range(first, first + count))
+    return tuple(ServerEntry(f"s-{i:04x}", zone=i % 4) for i in range(first, first + count))
 
 
 def fleet(entries, sidecars=SIDECARS, **extra):
@@ -21,7 +31,7 @@
     for i in range(sidecars):
         told = settings(index=i, replicasOfMe=sidecars, reporting={"how": "probe"}, **extra)
         balancer = Balancer(told, 7 + i, 0)
-        balancer.handle(0, Directory("FULL", tuple(entries)))
+        balancer.handle(0, ServerListUpdate("FULL", tuple(entries)))
         made.append(balancer)
     return made
 
@@ -32,9 +42,9 @@
     for i in range(calls):
         sends = []
         for j in range(at_once):
-            sends += only(balancer.handle(now, accept(f"{start}-{i}-{j}")), Submit)
+            sends += only(balancer.handle(now, accept(f"{start}-{i}-{j}")), SendAttempt)
         for send in sends:
-            balancer.handle(now + 20 * MS, outcome(send, lag_ns=20 * MS))
+            balancer.handle(now + 20 * MS, outcome(send, latency_ns=20 * MS))
         names += [send.server for send in sends]
         now += 200 * MS
     return names
@@ -57,7 +67,7 @@
     for balancer in sidecars:
         used(balancer, SECOND, calls=10)
         gone = tuple(entry._replace(lifecycle="removed") for entry in old[:36])
-        balancer.handle(5 * SECOND, Directory("INCREMENTAL", gone + new))
+        balancer.handle(5 * SECOND, ServerListUpdate("INCREMENTAL", gone + new))
     reached = Counter()
     for balancer in sidecars:
         reached.update(set(used(balancer, 6 * SECOND)))
@@ -87,8 +97,8 @@
 def test_the_idle_one_of_its_own_is_found_each_time():
     """Two drawn at random would leave it out now and then, and a call would wait behind another."""
     for balancer in fleet(listed(60)):
-        first = only(balancer.handle(SECOND, accept("a")), Submit)[0].server
-        second = only(balancer.handle(SECOND + MS, accept("b")), Submit)[0].server
+        first = only(balancer.handle(SECOND, accept("a")), SendAttempt)[0].server
+        second = only(balancer.handle(SECOND + MS, accept("b")), SendAttempt)[0].server
         assert first != second
 
 
@@ -108,9 +118,9 @@
         place, now = used(balancer, SECOND, calls=4)[-1], 2 * SECOND
         went = []
         for i in range(60):
-            send = only(balancer.handle(now, accept(f"s-{i}")), Submit)[0]
+            send = only(balancer.handle(now, accept(f"s-{i}")), SendAttempt)[0]
             lag = int(20 * MS * (times if send.server == place else 1.0))
-            balancer.handle(now + lag, outcome(send, lag_ns=lag))
+            balancer.handle(now + lag, outcome(send, latency_ns=lag))
             went.append(send.server == place)
             now += 200 * MS
         assert (sum(went[20:]) > 30) is stays
@@ -161,37 +171,41 @@
 
 def test_a_suspect_whose_probe_tells_of_a_queue_stays_out():
     balancer = fleet(listed(6), sidecars=2, limits={"mayProbe": True}, prices={"probe": 0.08})[0]
-    send = only(balancer.handle(SECOND, accept("a")), Submit)[0]
-    balancer.handle(SECOND + MS, outcome(send, How.FULL, lag_ns=MS))
+    send = only(balancer.handle(SECOND, accept("a")), SendAttempt)[0]
+    balancer.handle(SECOND + MS, outcome(send, AttemptOutcome.FULL, latency_ns=MS))
     probes, now = [], SECOND
     while not probes:
         now += 20 * MS
         actions = balancer.handle(now, accept(f"c{now}"))
-        probes = only(actions, Probe)
-        for other in only(actions, Submit):
+        probes = only(actions, ProbeServer)
+        for other in only(actions, SendAttempt):
             assert other.server != send.server
-            balancer.handle(now + 10 * MS, outcome(other, lag_ns=10 * MS))
+            balancer.handle(now + 10 * MS, outcome(other, latency_ns=10 * MS))
     assert [probe.server for probe in probes] == [send.server]
-    balancer.handle(now + 11 * MS, Echo(send.server, How.OK, MS, {"inflight": 9.0, "queue": 8.0}))
+    balancer.handle(
+        now + 11 * MS, ProbeResult(send.server, AttemptOutcome.OK, MS, {"inflight": 9.0, "queue": 8.0})
+    )
     assert balancer.book.servers[send.server].k == 0
     balancer.book.servers[send.server].retry_at = now
-    assert only(balancer.handle(now + 20 * MS, accept("again")), Probe)
-    balancer.handle(now + 21 * MS, Echo(send.server, How.OK, MS, {"inflight": 1.0, "queue": 0.0}))
+    assert only(balancer.handle(now + 20 * MS, accept("again")), ProbeServer)
+    balancer.handle(
+        now + 21 * MS, ProbeResult(send.server, AttemptOutcome.OK, MS, {"inflight": 1.0, "queue": 0.0})
+    )
     assert balancer.book.servers[send.server].k == 1
 
 
 def test_without_leave_to_probe_the_trial_is_a_call():
     balancer = fleet(listed(6), sidecars=2)[0]
-    send = only(balancer.handle(SECOND, accept("a")), Submit)[0]
-    balancer.handle(SECOND + MS, outcome(send, How.FULL, lag_ns=MS))
+    send = only(balancer.handle(SECOND, accept("a")), SendAttempt)[0]
+    balancer.handle(SECOND + MS, outcome(send, AttemptOutcome.FULL, latency_ns=MS))
     trials = []
     for i in range(1, 40):
         now = SECOND + i * 40 * MS
         actions = balancer.handle(now, accept(f"c{i}"))
-        assert not only(actions, Probe)
-        for other in only(actions, Submit):
+        assert not only(actions, ProbeServer)
+        for other in only(actions, SendAttempt):
             trials += [other] * (other.server == send.server)
-            balancer.handle(now + 10 * MS, outcome(other, lag_ns=10 * MS))
+            balancer.handle(now + 10 * MS, outcome(other, latency_ns=10 * MS))
     assert trials and balancer.book.servers[send.server].k >= 1
 
 
@@ -283,9 +297,9 @@
 def test_one_call_for_the_list_at_a_time():
     balancer = fleet(listed(4), sidecars=2, discovery="subscribe")[0]
     asked = 0
-    balancer.handle(SECOND, Directory("FAILED"))
+    balancer.handle(SECOND, ServerListUpdate("FAILED"))
     for i in range(200):
-        asked += len(only(balancer.handle(SECOND + i * 10 * MS, Alarm(0)), Subscribe))
+        asked += len(only(balancer.handle(SECOND + i * 10 * MS, TimerFired(0)), SubscribeServerList))
     assert asked == 1
 
 
@@ -337,33 +351,33 @@
     """A machine that vanished answers no probe, and its connections take longer to fail than a probe may: one
     probe a call took all descriptors of a sidecar within seconds."""
     balancer = fleet(listed(4), sidecars=2, limits={"mayProbe": True}, prices={"probe": 0.08})[0]
-    send = only(balancer.handle(SECOND, accept("a")), Submit)[0]
-    balancer.handle(SECOND + 200 * MS, outcome(send, How.CONNECT_FAILED, lag_ns=200 * MS))
+    send = only(balancer.handle(SECOND, accept("a")), SendAttempt)[0]
+    balancer.handle(SECOND + 200 * MS, outcome(send, AttemptOutcome.CONNECT_FAILED, latency_ns=200 * MS))
     probes = 0
     for i in range(150):
         now = SECOND + (200 + 20 * i) * MS
         actions = balancer.handle(now, accept(f"c{i}"))
-        for other in only(actions, Submit):
-            balancer.handle(now + 5 * MS, outcome(other, lag_ns=5 * MS))
-        for probe in only(actions, Probe):
+        for other in only(actions, SendAttempt):
+            balancer.handle(now + 5 * MS, outcome(other, latency_ns=5 * MS))
+        for probe in only(actions, ProbeServer):
             probes += 1
-            balancer.handle(now + 6 * MS, Echo(probe.server, How.MOOT, 6 * MS, {}))
+            balancer.handle(now + 6 * MS, ProbeResult(probe.server, AttemptOutcome.MOOT, 6 * MS, {}))
     assert 1 <= probes <= 4  # in three seconds, with a pause that doubles
 
 
 def test_a_probe_of_the_process_before_does_not_count_the_new_one_twice():
     """It is out when the list tells of a restart, and answered while a call is the new one's trial."""
     balancer = fleet(listed(4), sidecars=2, limits={"mayProbe": True}, prices={"probe": 0.08})[0]
-    send = only(balancer.handle(SECOND, accept("a")), Submit)[0]
-    balancer.handle(SECOND + MS, outcome(send, How.FULL, lag_ns=MS))
+    send = only(balancer.handle(SECOND, accept("a")), SendAttempt)[0]
+    balancer.handle(SECOND + MS, outcome(send, AttemptOutcome.FULL, latency_ns=MS))
     server = balancer.book.servers[send.server]
     server.retry_at = 0
     now = SECOND + 2 * MS
-    assert only(balancer.handle(now, accept("b")), Probe)
-    entry = Entry(send.server, zone=server.zone, started_ns=now)
-    balancer.handle(now, Directory("INCREMENTAL", (entry,)))
+    assert only(balancer.handle(now, accept("b")), ProbeServer)
+    entry = ServerEntry(send.server, zone=server.zone, started_ns=now)
+    balancer.handle(now, ServerListUpdate("INCREMENTAL", (entry,)))
     server.trial = True  # one call more than its budget, as growth allows
-    balancer.handle(now + MS, Echo(send.server, How.OK, MS, {"queue": 0.0}))
+    balancer.handle(now + MS, ProbeResult(send.server, AttemptOutcome.OK, MS, {"queue": 0.0}))
     assert balancer.book.live == 4 and server.trial
 
 
@@ -383,12 +397,12 @@
         now = ms * MS
         if now == 4 * SECOND:
             for balancer in sidecars:
-                balancer.handle(now, Directory("INCREMENTAL", (cold,)))
+                balancer.handle(now, ServerListUpdate("INCREMENTAL", (cold,)))
         for i, balancer in enumerate(sidecars):
             if draw.random() < 0.25:  # 62 a second each
                 calls += 1
-                for send in only(balancer.handle(now, accept(f"{ms}-{i}")), Submit):
-                    balancer.handle(now + 3 * MS, outcome(send, lag_ns=3 * MS))
+                for send in only(balancer.handle(now, accept(f"{ms}-{i}")), SendAttempt):
+                    balancer.handle(now + 3 * MS, outcome(send, latency_ns=3 * MS))
                     there += [now] * (send.server == cold.server)
     after = [when for when in there if when >= 4 * SECOND]
     windows = [sum(first <= when < first + 1500 * MS for when in after) for first in after]
--- a/tests/test_growing.py
+++ b/tests/test_growing.py
@@ -6,12 +6,12 @@
 
 from build import MS, SECOND, accept, balancer, fleet, only, outcome
 
-from dunefield import Accept, Refuse, Submit
-from dunefield.interface import Echo, Grown, How, Spent
+from dunefield import RefuseRequest, RequestArrived, SendAttempt
+from dunefield.interface import AttemptOutcome, BodyCompleted, BodyDiscarded, ProbeResult
 
 
-def growing(tid: str, cls: int = 1) -> Accept:
-    return Accept(tid, cls, SECOND, growing=True)
+def growing(request_id: str, cls: int = 1) -> RequestArrived:
+    return RequestArrived(request_id, cls, SECOND, body_incomplete=True)
 
 
 def shed(slow: int, grown: bool) -> int:
@@ -19,16 +19,16 @@
     made = balancer(40)
     now, draw = 0, random.Random(3)
     for number in range(slow):
-        assert only(made.handle(now, growing(f"g{number}")), Submit)
+        assert only(made.handle(now, growing(f"g{number}")), SendAttempt)
         if grown:
-            made.handle(now, Grown(f"g{number}"))
+            made.handle(now, BodyCompleted(f"g{number}"))
     refused = 0
     for number in range(400):
         now += int(5 * MS * draw.uniform(0.5, 1.5))
         acts = made.handle(now, accept(f"c{number}"))
-        refused += len(only(acts, Refuse))
-        for send in only(acts, Submit):
-            made.handle(now + 2 * MS, outcome(send, lag_ns=2 * MS))
+        refused += len(only(acts, RefuseRequest))
+        for send in only(acts, SendAttempt):
+            made.handle(now + 2 * MS, outcome(send, latency_ns=2 * MS))
     return refused
 
 
@@ -40,19 +40,19 @@
 
 def test_after_spent_a_failed_attempt_is_the_last_and_is_refused_with_when_to_come_back():
     made = balancer(4)
-    (send,) = only(made.handle(0, growing("g")), Submit)
-    made.handle(MS, Spent("g"))
-    acts = made.handle(2 * MS, outcome(send, How.CONNECT_FAILED, MS))
-    assert not only(acts, Submit)
-    (refusal,) = only(acts, Refuse)
-    assert refusal.hold_off_ns > 0
+    (send,) = only(made.handle(0, growing("g")), SendAttempt)
+    made.handle(MS, BodyDiscarded("g"))
+    acts = made.handle(2 * MS, outcome(send, AttemptOutcome.CONNECT_FAILED, MS))
+    assert not only(acts, SendAttempt)
+    (refusal,) = only(acts, RefuseRequest)
+    assert refusal.retry_after_ns > 0
 
 
 def test_before_spent_a_failed_attempt_is_followed_by_another():
     made = balancer(4)
-    (send,) = only(made.handle(0, growing("g")), Submit)
-    acts = made.handle(2 * MS, outcome(send, How.CONNECT_FAILED, MS))
-    assert len(only(acts, Submit)) == 1
+    (send,) = only(made.handle(0, growing("g")), SendAttempt)
+    acts = made.handle(2 * MS, outcome(send, AttemptOutcome.CONNECT_FAILED, MS))
+    assert len(only(acts, SendAttempt)) == 1
 
 
 def test_spent_is_final_with_probes_as_well():
@@ -61,16 +61,19 @@
     made.handle(0, growing("g"))
     sends = []
     for server in [entry.server for entry in fleet(4).entries]:
-        sends += only(made.handle(MS, Echo(server, How.OK, MS, {"inflight": 0.0, "queue": 0.0})), Submit)
+        sends += only(
+            made.handle(MS, ProbeResult(server, AttemptOutcome.OK, MS, {"inflight": 0.0, "queue": 0.0})),
+            SendAttempt,
+        )
     assert len(sends) == 1
-    made.handle(2 * MS, Spent("g"))
-    acts = made.handle(3 * MS, outcome(sends[0], How.RESET, MS))
-    assert not only(acts, Submit) and not made.book.calls and not made.book.growing
+    made.handle(2 * MS, BodyDiscarded("g"))
+    acts = made.handle(3 * MS, outcome(sends[0], AttemptOutcome.RESET, MS))
+    assert not only(acts, SendAttempt) and not made.book.calls and not made.book.growing
 
 
 def test_nothing_is_kept_of_a_call_that_ended_while_it_grew():
     made = balancer(4)
-    (send,) = only(made.handle(0, growing("g")), Submit)
+    (send,) = only(made.handle(0, growing("g")), SendAttempt)
     made.handle(2 * MS, outcome(send))
-    made.handle(3 * MS, Grown("g"))
+    made.handle(3 * MS, BodyCompleted("g"))
     assert not made.book.growing and not made.book.calls
--- a/tests/test_hold.py
+++ b/tests/test_hold.py
@@ -2,7 +2,7 @@
 
 from build import MS, SECOND, accept, balancer, only, outcome
 
-from dunefield import Alarm, Defer, Directory, Fail, Refuse, Submit
+from dunefield import FailRequest, RefuseRequest, SendAttempt, ServerListUpdate, StartTimer, TimerFired
 
 
 def fill(b, now=0):
@@ -10,9 +10,9 @@
     sends = []
     for i in range(200):
         done = b.handle(now, accept(f"fill-{i}"))
-        if not only(done, Submit):
-            return sends, f"fill-{i}", only(done, Defer)[0]
-        sends += only(done, Submit)
+        if not only(done, SendAttempt):
+            return sends, f"fill-{i}", only(done, StartTimer)[0]
+        sends += only(done, SendAttempt)
     raise AssertionError("no budget ever filled")
 
 
@@ -21,10 +21,10 @@
     _, held, tick = fill(b)
     now, ended = 0, []
     while now < SECOND and not ended:
-        now += tick.in_ns
+        now += tick.delay_ns
         b.handle(now, accept(f"late-{now}"))  # comes just before the tick in the same batch
-        done = b.handle(now, Alarm(tick.tag))
-        ended = [a for a in done if isinstance(a, Refuse | Fail) and a.tid == held]
+        done = b.handle(now, TimerFired(tick.tag))
+        ended = [a for a in done if isinstance(a, RefuseRequest | FailRequest) and a.request_id == held]
     assert ended and now < SECOND
 
 
@@ -35,17 +35,19 @@
     b.handle(0, accept("next-2"))
     order = []
     for send in sends:
-        order += [a.tid for a in only(b.handle(10 * MS, outcome(send, lag_ns=10 * MS)), Submit)]
+        order += [
+            a.request_id for a in only(b.handle(10 * MS, outcome(send, latency_ns=10 * MS)), SendAttempt)
+        ]
     assert order[:3] == [held, "next-1", "next-2"]
 
 
 def test_no_server_means_refused_in_time():
     b = balancer(servers=0)
-    b.handle(0, Directory("FULL"))
+    b.handle(0, ServerListUpdate("FULL"))
     done = b.handle(0, accept("alone"))
     now = 0
-    while not any(isinstance(a, Refuse) for a in done):
-        tick = only(done, Defer)[0]
-        now += tick.in_ns
-        done = b.handle(now, Alarm(tick.tag))
+    while not any(isinstance(a, RefuseRequest) for a in done):
+        tick = only(done, StartTimer)[0]
+        now += tick.delay_ns
+        done = b.handle(now, TimerFired(tick.tag))
     assert now < SECOND
--- a/tests/test_odd.py
+++ b/tests/test_odd.py
@@ -9,74 +9,74 @@
 from build import MS, SECOND, accept, balancer, fleet, only, outcome
 
 from dunefield import (
-    Accept,
-    Alarm,
-    Defer,
-    Directory,
-    Echo,
-    Entry,
-    Fail,
-    Hangup,
-    How,
-    Refuse,
-    Response,
-    Submit,
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    FailRequest,
+    ProbeResult,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
+    StartTimer,
+    TimerFired,
 )
 from dunefield.adapter import Host
 
 
 def finals(actions):
-    return [a for a in actions if isinstance(a, Refuse | Fail)]
+    return [a for a in actions if isinstance(a, RefuseRequest | FailRequest)]
 
 
 def play_out(b, done, now=0, until=3 * SECOND):
     """Serve the balancer's timers; return all final answers with their times."""
     timers, ends = [], [(now, a) for a in finals(done)]
-    timers += [(now + d.in_ns, d.tag) for d in only(done, Defer)]
+    timers += [(now + d.delay_ns, d.tag) for d in only(done, StartTimer)]
     while timers:
         timers.sort()
         at, tag = timers.pop(0)
         if at > until:
             break
-        done = b.handle(at, Alarm(tag))
+        done = b.handle(at, TimerFired(tag))
         ends += [(at, a) for a in finals(done)]
-        timers += [(at + d.in_ns, d.tag) for d in only(done, Defer)]
+        timers += [(at + d.delay_ns, d.tag) for d in only(done, StartTimer)]
     return ends
 
 
 @pytest.mark.parametrize(
     "call",
     [
-        Accept("x", -1, SECOND),
-        Accept("x", 99, SECOND),
-        Accept("x", 0, SECOND, tenant=-5),
-        Accept("x", 0, SECOND, tenant=99),
-        Accept("x", 0, SECOND, cost_ns=0),
-        Accept("x", 0, SECOND, key="k"),
+        RequestArrived("x", -1, SECOND),
+        RequestArrived("x", 99, SECOND),
+        RequestArrived("x", 0, SECOND, tenant=-5),
+        RequestArrived("x", 0, SECOND, tenant=99),
+        RequestArrived("x", 0, SECOND, expected_work_ns=0),
+        RequestArrived("x", 0, SECOND, key="k"),
     ],
 )
 def test_odd_numbers_in_a_request(call):
-    assert only(balancer().handle(0, call), Submit)
+    assert only(balancer().handle(0, call), SendAttempt)
 
 
 @pytest.mark.parametrize("ttl", [0, -1, 1])
 def test_no_time_left_is_answered_at_once(ttl):
-    done = balancer().handle(0, accept("x", ttl_ns=ttl))
-    assert len(finals(done)) == 1 and not only(done, Submit)
+    done = balancer().handle(0, accept("x", timeout_ns=ttl))
+    assert len(finals(done)) == 1 and not only(done, SendAttempt)
 
 
 def test_a_zone_out_of_range():
     b = balancer(servers=0, zone=77)
-    b.handle(0, Directory("FULL", (Entry("a", zone=-3), Entry("b", zone=99))))
-    assert only(b.handle(0, accept("x")), Submit)
+    b.handle(0, ServerListUpdate("FULL", (ServerEntry("a", zone=-3), ServerEntry("b", zone=99))))
+    assert only(b.handle(0, accept("x")), SendAttempt)
 
 
 @pytest.mark.parametrize("servers", [(), fleet(2).entries + fleet(2).entries])
 def test_empty_and_repeated_lists(servers):
     b = balancer(servers=0)
-    done = b.handle(0, Directory("FULL", servers))
+    done = b.handle(0, ServerListUpdate("FULL", servers))
     done = b.handle(0, accept("x"))
-    assert len(only(done, Submit)) == (1 if servers else 0)
+    assert len(only(done, SendAttempt)) == (1 if servers else 0)
     assert servers or len(play_out(b, done)) == 1
 
 
@@ -88,14 +88,14 @@
 
 def test_late_outcome_hangup_and_echo_after_the_end():
     b = balancer(servers=1)
-    send = only(b.handle(0, accept("x")), Submit)[0]
-    b.handle(MS, Hangup("x"))
-    assert not finals(b.handle(2 * MS, outcome(send, How.TIMEOUT)))
-    assert not b.handle(3 * MS, Hangup("x"))
-    b.handle(3 * MS, Directory("FULL"))
-    assert not b.handle(4 * MS, Echo(send.server, How.OK, 1, {"queue": 1.0}))
-    assert not b.handle(4 * MS, Echo("never:1", How.OK, 1, {"queue": 1.0}))
-    assert not b.handle(5 * MS, Response("y", 999, 1, "never:1", 7, True))
+    send = only(b.handle(0, accept("x")), SendAttempt)[0]
+    b.handle(MS, ClientDisconnected("x"))
+    assert not finals(b.handle(2 * MS, outcome(send, AttemptOutcome.TIMEOUT)))
+    assert not b.handle(3 * MS, ClientDisconnected("x"))
+    b.handle(3 * MS, ServerListUpdate("FULL"))
+    assert not b.handle(4 * MS, ProbeResult(send.server, AttemptOutcome.OK, 1, {"queue": 1.0}))
+    assert not b.handle(4 * MS, ProbeResult("never:1", AttemptOutcome.OK, 1, {"queue": 1.0}))
+    assert not b.handle(5 * MS, AttemptFinished("y", 999, 1, "never:1", 7, True))
 
 
 def test_thousands_of_events_after_a_long_silence():
@@ -103,18 +103,18 @@
     now, ends, sends = 600 * SECOND, 0, 0
     for i in range(5000):
         done = b.handle(now, accept(f"x{i}"))
-        sends += len(only(done, Submit))
+        sends += len(only(done, SendAttempt))
         ends += len(finals(done))
     assert sends > 0 and ends + sends + len(b.book.held) == 5000
-    done = b.handle(now + SECOND, Alarm(1))
-    assert len(finals(done)) + len(only(done, Submit)) == 5000 - ends - sends
+    done = b.handle(now + SECOND, TimerFired(1))
+    assert len(finals(done)) + len(only(done, SendAttempt)) == 5000 - ends - sends
 
 
 def test_aims_of_nanoseconds():
     b = balancer(servers=1, classes=[{"onTimeNs": 1, "hardLimitNs": 2}])
     for i in range(5):
-        done = b.handle(0, accept(f"x{i}", ttl_ns=2))
-        assert len(finals(done)) + len(only(done, Submit)) == 1
+        done = b.handle(0, accept(f"x{i}", timeout_ns=2))
+        assert len(finals(done)) + len(only(done, SendAttempt)) == 1
 
 
 def test_crash_and_reopening_in_one_batch():
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -3,7 +3,7 @@
 import pytest
 from build import MS, SECOND, accept, balancer, only, outcome, settings
 
-from dunefield import Balancer, Directory, Entry, Refuse, Submit
+from dunefield import Balancer, RefuseRequest, SendAttempt, ServerEntry, ServerListUpdate
 from dunefield.patience import SURE, Patience
 
 TOTAL = 400 * MS
@@ -49,22 +49,22 @@
         ]
     )
     b = Balancer(made, 1, 0)
-    b.handle(0, Directory("FULL", tuple(Entry(f"s{i}") for i in range(4))))
+    b.handle(0, ServerListUpdate("FULL", tuple(ServerEntry(f"s{i}") for i in range(4))))
     now = SECOND
     for i in range(40):
-        for send in only(b.handle(now, accept(f"c{i}", ttl_ns=USUAL)), Submit):
+        for send in only(b.handle(now, accept(f"c{i}", timeout_ns=USUAL)), SendAttempt):
             lag = 90 * MS if slow and i >= 36 else 20 * MS
-            b.handle(now + lag, outcome(send, lag_ns=lag))
+            b.handle(now + lag, outcome(send, latency_ns=lag))
         now += 100 * MS
-    actions = b.handle(now, accept("late", ttl_ns=LEFT))
-    assert bool(only(actions, Refuse)) is refused
-    assert bool(only(actions, Submit)) is not refused
+    actions = b.handle(now, accept("late", timeout_ns=LEFT))
+    assert bool(only(actions, RefuseRequest)) is refused
+    assert bool(only(actions, SendAttempt)) is not refused
 
 
 def test_a_shorter_deadline_than_the_aim_is_no_sign():
     """A client whose whole patience is short from the first try on keeps its service in a calm fleet."""
     b = balancer(servers=4)
     for i in range(30):
-        send = only(b.handle(SECOND + i * 50 * MS, accept(f"c{i}", ttl_ns=SECOND)), Submit)[0]
-        b.handle(SECOND + i * 50 * MS + 20 * MS, outcome(send, lag_ns=20 * MS))
-    assert only(b.handle(4 * SECOND, accept("short", ttl_ns=300 * MS)), Submit)
+        send = only(b.handle(SECOND + i * 50 * MS, accept(f"c{i}", timeout_ns=SECOND)), SendAttempt)[0]
+        b.handle(SECOND + i * 50 * MS + 20 * MS, outcome(send, latency_ns=20 * MS))
+    assert only(b.handle(4 * SECOND, accept("short", timeout_ns=300 * MS)), SendAttempt)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from world import World
 
-from dunefield import Balancer, Fail, Refuse, Settings, Submit
+from dunefield import Balancer, FailRequest, RefuseRequest, SendAttempt, Settings
 from dunefield.promises import Promises
 from dunefield.ring import Ring
 from emulator.watch import Broken
@@ -61,23 +61,23 @@
 
 
 def never_ends(self, call, hold_off):
-    self._book.drop(call.tid)
+    self._book.drop(call.request_id)
 
 
 def ends_twice(self, call, hold_off):
-    self._book.drop(call.tid)
-    self._book.acts += [Fail(call.tid), Fail(call.tid)]
+    self._book.drop(call.request_id)
+    self._book.acts += [FailRequest(call.request_id), FailRequest(call.request_id)]
 
 
 def always_refuses(self, call, hold_off):
-    self._book.drop(call.tid)
-    self._book.acts.append(Refuse(call.tid, 0))
+    self._book.drop(call.request_id)
+    self._book.acts.append(RefuseRequest(call.request_id, 0))
 
 
 def sends_past_the_deadline(self, now, call, server, trial):
     done = SEND(self, now, call, server, trial)
     if done:
-        self._book.acts[-1] = Submit(call.tid, server.name, call.deadline + SECOND)
+        self._book.acts[-1] = SendAttempt(call.request_id, server.name, call.deadline + SECOND)
     return done
 
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -8,7 +8,7 @@
 import pytest
 from backend import Call, Conversation, Server, line, play, settings, sidecar
 
-from dunefield import How
+from dunefield import AttemptOutcome
 from hollyport.http.back import Connection, HttpBack
 from hollyport.http.heads import load
 from hollyport.nodes.upstream import Upstream
@@ -27,7 +27,9 @@
     return script
 
 
-async def outcomes(script, number: int = 1, stall_s: float = 0.0) -> tuple[list[tuple[How, bytes]], Server]:
+async def outcomes(
+    script, number: int = 1, stall_s: float = 0.0
+) -> tuple[list[tuple[AttemptOutcome, bytes]], Server]:
     found = []
     async with Server(script) as server:
         upstream = Upstream(asyncio.get_running_loop(), 10**9, 10**10, 10, stall_s, HttpBack(False))
@@ -69,7 +71,7 @@
 
     async def scene():
         found, _ = await outcomes(says(spoilt), stall_s=0.2)
-        assert found == [(How.CANCELLED, b"")]
+        assert found == [(AttemptOutcome.CANCELLED, b"")]
 
     play(scene)
 
@@ -96,7 +98,7 @@
                 await talk.writer.drain()
 
         found, server = await outcomes(script, number=2)
-        assert found == [(How.OK, b"good")] * 2 and server.connections == connections
+        assert found == [(AttemptOutcome.OK, b"good")] * 2 and server.connections == connections
 
     play(scene)
 
@@ -107,7 +109,7 @@
     async def scene():
         body = b"x" * 350_000
         found, _ = await outcomes(says(b"HTTP/1.1 200 OK\r\nContent-Length: 350000\r\n\r\n" + body))
-        assert found == [(How.OK, body)]
+        assert found == [(AttemptOutcome.OK, body)]
 
     play(scene)
 
@@ -166,9 +168,9 @@
 @pytest.mark.parametrize(
     ("error", "how"),
     [
-        (OSError(24, "too many open files"), How.MOOT),
-        (ConnectionRefusedError(), How.CONNECT_FAILED),
-        (ValueError("odd"), How.CONNECT_FAILED),
+        (OSError(24, "too many open files"), AttemptOutcome.MOOT),
+        (ConnectionRefusedError(), AttemptOutcome.CONNECT_FAILED),
+        (ValueError("odd"), AttemptOutcome.CONNECT_FAILED),
     ],
 )
 def test_every_failed_connect_ends_its_attempt_and_own_want_blames_nobody(monkeypatch, capfd, error, how):
@@ -244,7 +246,7 @@
             lags, plain = [], world.sidecar.core._module.handle
 
             def handle(now, event):
-                lags.extend([event.lag_ns] if hasattr(event, "attempt") else [])
+                lags.extend([event.latency_ns] if hasattr(event, "attempt") else [])
                 return plain(now, event)
 
             world.sidecar.core._module.handle = handle
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,7 +10,18 @@
 
 from backend import Call, Conversation, Server, dump, line, listing, ok, play, settings, sidecar
 
-from dunefield import Accept, CloseIdle, Fail, Fetch, How, Note, Probe, Refuse, Retract, Submit
+from dunefield import (
+    AttemptOutcome,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchServerList,
+    LogMessage,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+)
 from hollyport.http.back import Connection, HttpBack
 from hollyport.nodes.upstream import Upstream
 from hollyport.settings.config import Address
@@ -92,7 +103,7 @@
         exchange = upstream.exchange("s1", made, 10.0, lambda how, _: (outcomes.append(how), ended.set()))
         exchange.start()
         await ended.wait()
-        assert outcomes == [How.CONNECT_FAILED]
+        assert outcomes == [AttemptOutcome.CONNECT_FAILED]
         server.close()
 
     play(scene)
@@ -106,12 +117,12 @@
             for number, server in enumerate(servers * 2):
                 name = f"s{number % 4}"
                 upstream.update(name, Address("127.0.0.1", server.port), 0, True)
-                done: asyncio.Future[How] = asyncio.get_running_loop().create_future()
+                done: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
                 request = b"GET / HTTP/1.1\r\nHost: s\r\n\r\n"
                 upstream.exchange(
                     name, lambda r=request: r, 10.0, lambda how, _, d=done: d.set_result(how)
                 ).start()
-                assert await done is How.OK  # four servers by turns over two descriptors
+                assert await done is AttemptOutcome.OK  # four servers by turns over two descriptors
 
     play(scene)
 
@@ -181,12 +192,12 @@
         async with Server(script) as server:
             raw = settings(discovery="subscribe", reporting={"how": "probe"}, limits={"mayProbe": True})
             async with sidecar(line("s1", server.port), discovery=server.port, raw=raw) as world:
-                acts = [Probe("s1"), Probe("nobody"), Note("a word"), Fetch()]
+                acts = [ProbeServer("s1"), ProbeServer("nobody"), LogMessage("a word"), FetchServerList()]
 
                 def handle(now, event):
                     told.put_nowait(event)
-                    if isinstance(event, Accept):
-                        return [Submit(event.tid, "s1", now + 5 * 10**9), *acts]
+                    if isinstance(event, RequestArrived):
+                        return [SendAttempt(event.request_id, "s1", now + 5 * 10**9), *acts]
                     return []
 
                 world.sidecar.core._module.handle = handle
@@ -195,15 +206,26 @@
                 while len(events) < 4:
                     event = await told.get()
                     events[type(event).__name__, getattr(event, "server", "")] = event
-                assert events["Echo", "s1"].load == {"inflight": 3.0} and events["Echo", "s1"].how == How.OK
-                assert events["Echo", "nobody"].how == How.MOOT
-                assert events["Directory", ""].scope == "FULL" and events["Directory", ""].gen == 5
+                assert (
+                    events["ProbeResult", "s1"].load == {"inflight": 3.0}
+                    and events["ProbeResult", "s1"].outcome == AttemptOutcome.OK
+                )
+                assert events["ProbeResult", "nobody"].outcome == AttemptOutcome.MOOT
+                assert (
+                    events["ServerListUpdate", ""].scope == "FULL"
+                    and events["ServerListUpdate", ""].generation == 5
+                )
                 await came.wait()
-                tid = events["Accept", ""].tid
+                request_id = events["RequestArrived", ""].request_id
                 idle = len(world.sidecar._upstream._targets["s1"].idle)
-                for action in (Retract(tid, 0), CloseIdle("s1"), Refuse(tid, 250_000_000), Fail(tid)):
+                for action in (
+                    CancelAttempt(request_id, 0),
+                    CloseIdleConnections("s1"),
+                    RefuseRequest(request_id, 250_000_000),
+                    FailRequest(request_id),
+                ):
                     world.sidecar.core._perform(action)
-                assert (await told.get()).how == How.CANCELLED
+                assert (await told.get()).outcome == AttemptOutcome.CANCELLED
                 assert idle and not world.sidecar._upstream._targets["s1"].idle
                 status, headers, _ = await asking  # one answer: the first
                 assert status == 503 and headers["retry-after"] == "0.250"
--- a/tests/test_stale.py
+++ b/tests/test_stale.py
@@ -3,16 +3,16 @@
 import pytest
 from build import MS, SECOND, accept, balancer, only, outcome
 
-from dunefield import How, Submit
-from dunefield.interface import CloseIdle
+from dunefield import AttemptOutcome, SendAttempt
+from dunefield.interface import CloseIdleConnections
 
 
-def call(b, now, how=How.OK, lag=20 * MS):
+def call(b, now, how=AttemptOutcome.OK, lag=20 * MS):
     """One call from `now` on; whether idle connections were closed for it."""
     acts = b.handle(now, accept(f"at-{now}"))
-    send = only(acts, Submit)[0]
-    b.handle(now + lag, outcome(send, how=how, lag_ns=lag))
-    return bool(only(acts, CloseIdle))
+    send = only(acts, SendAttempt)[0]
+    b.handle(now + lag, outcome(send, how=how, latency_ns=lag))
+    return bool(only(acts, CloseIdleConnections))
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
 def test_a_reset_is_held_against_idle_times_that_worked(worked_ms, reset_ms, then_ms, closed):
     b, now = balancer(servers=1), SECOND
     call(b, now)
-    for idle_ms, how in ((worked_ms, How.OK), (reset_ms, How.RESET)):
+    for idle_ms, how in ((worked_ms, AttemptOutcome.OK), (reset_ms, AttemptOutcome.RESET)):
         if idle_ms:
             now += 20 * MS + idle_ms * MS
             assert not call(b, now, how)
@@ -44,7 +44,7 @@
         now += 50 * MS
         call(b, now)
     now += 320 * MS
-    call(b, now, How.RESET)
+    call(b, now, AttemptOutcome.RESET)
     assert call(b, now + 220 * MS)
 
 
@@ -55,7 +55,7 @@
     now += 7020 * MS
     call(b, now)
     now += 3020 * MS
-    call(b, now, How.RESET)
+    call(b, now, AttemptOutcome.RESET)
     assert call(b, now + 2020 * MS)
 
 
@@ -74,5 +74,5 @@
         now += (20 + idle_ms) * MS
         call(b, now)
     now += 320 * MS
-    call(b, now, How.RESET)
+    call(b, now, AttemptOutcome.RESET)
     assert not call(b, now + 220 * MS)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -2,7 +2,7 @@
 
 from build import MS, SECOND, accept, balancer, only, outcome
 
-from dunefield import Echo, How, Probe, Submit
+from dunefield import AttemptOutcome, ProbeResult, ProbeServer, SendAttempt
 
 TOLD = {
     "prices": {"probe": 0.08, "handshake": 0.08},
@@ -12,18 +12,18 @@
 DEADLINE = SECOND
 
 
-def served(b, now, tid, lag=20 * MS):
+def served(b, now, request_id, lag=20 * MS):
     """One call that is answered; the server's name, and whom it made the sidecar ask."""
-    acts = b.handle(now, accept(tid))
-    send = only(acts, Submit)[0]
-    b.handle(now + lag, outcome(send, lag_ns=lag))
-    return send.server, [probe.server for probe in only(acts, Probe)]
+    acts = b.handle(now, accept(request_id))
+    send = only(acts, SendAttempt)[0]
+    b.handle(now + lag, outcome(send, latency_ns=lag))
+    return send.server, [probe.server for probe in only(acts, ProbeServer)]
 
 
-def run_out(b, now, tid):
+def run_out(b, now, request_id):
     """One call of a class that may not run twice, which is not answered; its server."""
-    send = only(b.handle(now, accept(tid, 1)), Submit)[0]
-    b.handle(now + DEADLINE, outcome(send, how=How.TIMEOUT, lag_ns=DEADLINE))
+    send = only(b.handle(now, accept(request_id, 1)), SendAttempt)[0]
+    b.handle(now + DEADLINE, outcome(send, how=AttemptOutcome.TIMEOUT, latency_ns=DEADLINE))
     return send.server
 
 
@@ -40,7 +40,7 @@
     b, late, now = one_late()
     name, asked = served(b, now, "next")
     assert name != late and asked == [late]
-    b.handle(now + MS, Echo(late, How.OK, MS, {"inflight": 0.0, "queue": 0.0}))
+    b.handle(now + MS, ProbeResult(late, AttemptOutcome.OK, MS, {"inflight": 0.0, "queue": 0.0}))
     assert late in {served(b, now + (i + 1) * 50 * MS, f"then-{i}")[0] for i in range(12)}
 
 
@@ -48,15 +48,15 @@
     """Some stand still and answer probes all the same: each time they are taken in costs a call."""
     b, late, now = one_late()
     served(b, now, "next")
-    b.handle(now + MS, Echo(late, How.OK, MS, {"inflight": 0.0, "queue": 0.0}))
+    b.handle(now + MS, ProbeResult(late, AttemptOutcome.OK, MS, {"inflight": 0.0, "queue": 0.0}))
     for i in range(40):  # until a call goes there again, and runs out as well
         now += 50 * MS
-        send = only(b.handle(now, accept(f"again-{i}", 1)), Submit)[0]
+        send = only(b.handle(now, accept(f"again-{i}", 1)), SendAttempt)[0]
         if send.server == late:
-            b.handle(now + DEADLINE, outcome(send, how=How.TIMEOUT, lag_ns=DEADLINE))
+            b.handle(now + DEADLINE, outcome(send, how=AttemptOutcome.TIMEOUT, latency_ns=DEADLINE))
             now += DEADLINE
             break
-        b.handle(now + 20 * MS, outcome(send, lag_ns=20 * MS))
+        b.handle(now + 20 * MS, outcome(send, latency_ns=20 * MS))
     else:
         raise AssertionError("it was never used again")
     assert served(b, now + 5 * MS, "after")[1] == []
--- a/tests/test_wire_rows.py
+++ b/tests/test_wire_rows.py
@@ -6,28 +6,28 @@
 import pytest
 
 from dunefield import (
-    Accept,
-    Alarm,
-    Begun,
-    CloseIdle,
-    Defer,
-    Directory,
-    Echo,
-    Entry,
-    Fail,
-    Fetch,
-    Hangup,
-    Heard,
-    Note,
-    Probe,
-    Refuse,
-    Response,
-    Retract,
+    AttemptFinished,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    FailRequest,
+    FetchServerList,
+    LogMessage,
+    PeerMessage,
+    ProbeResult,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    ResponseStarted,
+    SendAttempt,
+    SendPeerMessage,
+    ServerEntry,
+    ServerListUpdate,
     Settings,
     SettingsError,
-    Submit,
-    Subscribe,
-    Tell,
+    StartTimer,
+    SubscribeServerList,
+    TimerFired,
     adapter,
 )
 
@@ -69,22 +69,25 @@
     [
         (
             "accept who=0 tid=aa costNs=12 owner=1 ttlNs=240 type=2 object=k:1 bitmap=7 odd=1",
-            Accept("aa", 2, 240, 12, 1, "k:1", True, True),
+            RequestArrived("aa", 2, 240, 12, 1, "k:1", True, True),
         ),
-        ("accept who=0 tid=aa costNs=12 ttlNs=240 bitmap=0", Accept("aa", 0, 240)),
-        ("begun who=0 tid=aa server=a:1 go=1 lagNs=9", Begun("aa", "a:1", 1, 9)),
-        ("begun who=0 tid=aa", Begun("aa")),
+        ("accept who=0 tid=aa costNs=12 ttlNs=240 bitmap=0", RequestArrived("aa", 0, 240)),
+        ("begun who=0 tid=aa server=a:1 go=1 lagNs=9", ResponseStarted("aa", "a:1", 1, 9)),
+        ("begun who=0 tid=aa", ResponseStarted("aa")),
         (
             "response who=0 tid=aa how=100 lagNs=18 server=a:1 go=1 closed=1 usage=queue:3,util:0.62,x:y",
-            Response("aa", 100, 18, "a:1", 1, True, {"queue": 3.0, "util": 0.62}),
+            AttemptFinished("aa", 100, 18, "a:1", 1, True, {"queue": 3.0, "util": 0.62}),
         ),
-        ("response who=0 tid=aa how=303 server=a:1", Response("aa", 303, 0, "a:1", 0, False, {})),
-        ("hangup who=0 tid=aa", Hangup("aa")),
-        ("alarm who=0 tag=77", Alarm(77)),
-        ("echo who=0 lagNs=4 how=100 server=a:1 usage=inflight:2", Echo("a:1", 100, 4, {"inflight": 2.0})),
-        ("heard who=0 from=2 blob=6869", Heard(2, b"hi")),
-        ("heard who=0 from=2 blob=-", Heard(2, b"")),
-        ("directory_update who=0 scope=FAILED gen=3", Directory("FAILED", (), 3)),
+        ("response who=0 tid=aa how=303 server=a:1", AttemptFinished("aa", 303, 0, "a:1", 0, False, {})),
+        ("hangup who=0 tid=aa", ClientDisconnected("aa")),
+        ("alarm who=0 tag=77", TimerFired(77)),
+        (
+            "echo who=0 lagNs=4 how=100 server=a:1 usage=inflight:2",
+            ProbeResult("a:1", 100, 4, {"inflight": 2.0}),
+        ),
+        ("heard who=0 from=2 blob=6869", PeerMessage(2, b"hi")),
+        ("heard who=0 from=2 blob=-", PeerMessage(2, b"")),
+        ("directory_update who=0 scope=FAILED gen=3", ServerListUpdate("FAILED", (), 3)),
     ],
 )
 def test_events_come_in(talk, line, event):
@@ -100,8 +103,8 @@
         "server server=b:1",
         f"directory_update who=0 scope={scope} gen=41 slot=3",
     )
-    entries = (Entry("a:1", 2, 3, 4, "draining", 1.5, 600), Entry("b:1"))
-    assert Recorder.seen == [(5, Directory(scope, entries, 41))]
+    entries = (ServerEntry("a:1", 2, 3, 4, "draining", 1.5, 600), ServerEntry("b:1"))
+    assert Recorder.seen == [(5, ServerListUpdate(scope, entries, 41))]
 
 
 def test_a_new_roster_takes_the_number_of_an_old_one(talk):
@@ -124,19 +127,19 @@
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (Submit("aa", "a:1", 9), "submit_to who=0 tid=aa server=a:1 abandonAtNs=9"),
-        (Refuse("aa", 5), "push_back who=0 tid=aa holdOffNs=5"),
-        (Fail("aa"), "finish_error who=0 tid=aa"),
-        (Retract("aa", 1), "retract who=0 tid=aa go=1"),
-        (Subscribe(), "subscribe who=0 want=1"),
-        (Subscribe(False), "subscribe who=0 want=0"),
-        (Fetch(), "fetch who=0"),
-        (Probe("a:1"), "touch who=0 server=a:1"),
-        (CloseIdle("a:1"), "hang_up who=0 server=a:1"),
-        (Tell(-1, b"hi"), "signal who=0 to=-1 blob=6869"),
-        (Tell(2, b""), "signal who=0 to=2 blob=-"),
-        (Note("two\nservers"), "note_down who=0 line=two servers"),
-        (Defer(5, 7), "defer who=0 inNs=5 tag=7"),
+        (SendAttempt("aa", "a:1", 9), "submit_to who=0 tid=aa server=a:1 abandonAtNs=9"),
+        (RefuseRequest("aa", 5), "push_back who=0 tid=aa holdOffNs=5"),
+        (FailRequest("aa"), "finish_error who=0 tid=aa"),
+        (CancelAttempt("aa", 1), "retract who=0 tid=aa go=1"),
+        (SubscribeServerList(), "subscribe who=0 want=1"),
+        (SubscribeServerList(False), "subscribe who=0 want=0"),
+        (FetchServerList(), "fetch who=0"),
+        (ProbeServer("a:1"), "touch who=0 server=a:1"),
+        (CloseIdleConnections("a:1"), "hang_up who=0 server=a:1"),
+        (SendPeerMessage(-1, b"hi"), "signal who=0 to=-1 blob=6869"),
+        (SendPeerMessage(2, b""), "signal who=0 to=2 blob=-"),
+        (LogMessage("two\nservers"), "note_down who=0 line=two servers"),
+        (StartTimer(5, 7), "defer who=0 inNs=5 tag=7"),
     ],
 )
 def test_actions_go_out(talk, action, line):
@@ -217,17 +220,17 @@
     ("path", "value"),
     [
         ("classes.0.name", "c"),
-        ("classes.0.aim_ns", 4),
+        ("classes.0.target_ns", 4),
         ("classes.0.deadline_ns", 9),
-        ("classes.0.worth", 3.0),
-        ("classes.0.late_worth", 0.1),
-        ("classes.0.repeat", "guarded"),
-        ("classes.0.group", "zone"),
-        ("classes.0.window_ns", 6),
+        ("classes.0.value", 3.0),
+        ("classes.0.late_value", 0.1),
+        ("classes.0.retry_safety", "guarded"),
+        ("classes.0.retry_scope", "zone"),
+        ("classes.0.retry_window_ns", 6),
         ("classes.0.stream", True),
-        ("classes.0.aim_stretch", 2.0),
-        ("marks_retry", True),
-        ("must_ask", True),
+        ("classes.0.target_work_factor", 2.0),
+        ("clients_mark_retries", True),
+        ("must_subscribe", True),
         ("zones", ("z",)),
         ("zone", 0),
         ("warm_keys", True),
@@ -241,7 +244,7 @@
         ("replicas", 9),
         ("kinds", ("k",)),
         ("goal", {"whole": 0.7, "ninesPart": 0.1}),
-        ("over_share_worth", 0.2),
+        ("over_share_value", 0.2),
         ("period_ns", 5),
         ("reports", "probe"),
         ("columns", ("queue",)),
@@ -249,15 +252,15 @@
         ("tenants.0.name", "p"),
         ("tenants.0.share", 0.5),
         ("tenants.0.allowance_per_s", 7.0),
-        ("invariants.cold_from", 0.2),
-        ("invariants.cold_ns", 3),
+        ("invariants.cold_start_fraction", 0.2),
+        ("invariants.warm_up_ns", 3),
         ("invariants.drain_grace_ns", 4),
         ("invariants.fall_multiple", 2.5),
         ("invariants.fall_ns", 6),
-        ("invariants.answer_grace_ns", 7),
-        ("invariants.must_ask_in_ns", 2_000_000_000),
+        ("invariants.response_grace_ns", 7),
+        ("invariants.subscribe_within_ns", 2_000_000_000),
         ("limits.cancel", True),
-        ("limits.conn_idle_ns", 1),
+        ("limits.connection_idle_ns", 1),
         ("limits.connect_timeout_ns", 2),
         ("limits.cpu_us_per_request", 10.0),
         ("limits.cpu_us_per_s", 8000.0),
@@ -267,8 +270,8 @@
         ("limits.open_cap", 7),
         ("limits.peers", True),
         ("limits.retry_after", True),
-        ("limits.second_copies", True),
-        ("limits.streams_per_conn", 8),
+        ("limits.hedging", True),
+        ("limits.max_streams_per_connection", 8),
     ],
 )
 def test_settings_come_in(path, value):
@@ -282,7 +285,7 @@
     made = Settings.parse(ENV)
     assert (made.value_by, made.weights, made.reports, made.columns) == ("request", "none", "none", ())
     assert (made.goal, made.layers, made.limits.max_attempts) == ({}, (), 1)
-    assert made.classes[0].repeat == "single_shot"
+    assert made.classes[0].retry_safety == "single_shot"
 
 
 @pytest.mark.parametrize(
--- a/tests/thrift/test_back.py
+++ b/tests/thrift/test_back.py
@@ -15,7 +15,7 @@
 from thrift.Thrift import TMessageType, TType
 from tongues import PROBED, THRIFT, Asked, Node, Talk, World, sidecar
 
-from dunefield import How, Response
+from dunefield import AttemptFinished, AttemptOutcome
 from hollyport.lists.discovery import read_listing
 from hollyport.registries.record import Record
 from hollyport.thrift.front import ThriftGuest
@@ -62,9 +62,9 @@
             told = world.watch()
             client = await world.client()
             assert (await client.ask("single_shot")).what == "failed"
-            while not isinstance(event := await told.get(), Response):
+            while not isinstance(event := await told.get(), AttemptFinished):
                 pass
-            assert event.how == How.CANCELLED and len(node.calls) == 1
+            assert event.outcome == AttemptOutcome.CANCELLED and len(node.calls) == 1
             node.script = ok
             assert (await client.ask("single_shot")).what == "served" and node.connections == 2
 
@@ -74,12 +74,12 @@
 @pytest.mark.parametrize(
     ("kind", "what", "how"),
     [
-        (11, "refused", How.FULL),
-        (0, "failed", How.ERROR),
-        (1, "failed", How.ERROR),
-        (6, "failed", How.ERROR),
-        (12, "failed", How.ERROR),
-        (99, "failed", How.ERROR),
+        (11, "refused", AttemptOutcome.FULL),
+        (0, "failed", AttemptOutcome.ERROR),
+        (1, "failed", AttemptOutcome.ERROR),
+        (6, "failed", AttemptOutcome.ERROR),
+        (12, "failed", AttemptOutcome.ERROR),
+        (99, "failed", AttemptOutcome.ERROR),
     ],
 )
 def test_only_load_shedding_says_that_it_has_not_run(kind, what, how):
@@ -90,9 +90,9 @@
         async with Node(TONGUE, shed) as node, sidecar(TONGUE, TONGUE.line("s1", node.port)) as world:
             told = world.watch()
             assert (await (await world.client()).ask("single_shot")).what == what
-            while not isinstance(event := await told.get(), Response):
+            while not isinstance(event := await told.get(), AttemptFinished):
                 pass
-            assert event.how == how and node.connections == 1
+            assert event.outcome == how and node.connections == 1
 
     play(scene)
 
--- a/tests/thrift/test_oneway.py
+++ b/tests/thrift/test_oneway.py
@@ -11,7 +11,7 @@
 from backend import play
 from tongues import THRIFT, Asked, Node, Talk, sidecar
 
-from dunefield import Accept, Hangup, How, Response, Submit
+from dunefield import AttemptFinished, AttemptOutcome, ClientDisconnected, RequestArrived, SendAttempt
 from hollyport.core.counters import Counters
 from hollyport.core.requests import Core
 
@@ -31,8 +31,8 @@
     return json.loads(body)
 
 
-async def response(told) -> Response:
-    while not isinstance(event := await told.get(), Response):
+async def response(told) -> AttemptFinished:
+    while not isinstance(event := await told.get(), AttemptFinished):
         pass
     return event
 
@@ -45,7 +45,11 @@
             client = await world.client()
             await client.send("single_shot", oneway=True)
             event = await response(told)
-            assert (event.how, event.closed, dict(event.load)) == (How.OK, True, {"inflight": 0, "queue": 0})
+            assert (event.outcome, event.closed, dict(event.load)) == (
+                AttemptOutcome.OK,
+                True,
+                {"inflight": 0, "queue": 0},
+            )
             assert [call.oneway for call in node.calls] == [True] and node.probes == 1
             assert not world.core._requests and not world.core._module.book.attempts
             assert (await counted(world))["oneway"] == {"single_shot": {"written": 1}}
@@ -101,7 +105,10 @@
             client = await world.client()
             await client.send("single_shot", oneway=True)
             event = await response(told)
-            assert (event.how, event.closed) == (How.CANCELLED, True) and event.lag_ns >= 2 * 10**8
+            assert (event.outcome, event.closed) == (
+                AttemptOutcome.CANCELLED,
+                True,
+            ) and event.latency_ns >= 2 * 10**8
             node.script = lambda talk, asked: talk.serve(b"next")
             assert (await client.ask("free")).body == b"next" and node.connections == 1
 
@@ -125,7 +132,7 @@
             told = world.watch()
             client = await world.client()
             await client.send("single_shot")
-            assert (await response(told)).how == How.OK
+            assert (await response(told)).outcome == AttemptOutcome.OK
             node.script = lambda talk, asked: talk.serve(b"next")
             assert (await client.ask("free")).body == b"next"
 
@@ -145,7 +152,7 @@
                 for cls in ("single_shot", "free"):
                     await (await world.client()).send(cls, oneway=True)
                     event = await response(told)
-                    assert (event.how, event.closed) == (How.RESET, True)
+                    assert (event.outcome, event.closed) == (AttemptOutcome.RESET, True)
                 assert len(node.calls) == 2 and not world.core._requests
 
     play(scene)
@@ -180,7 +187,9 @@
                     hows.append(await response(told))
                     while not hows[-1].closed:
                         hows.append(await response(told))
-                assert [event.how for event in hows if event.server == "s0"] == [How.CONNECT_FAILED]
+                assert [event.outcome for event in hows if event.server == "s0"] == [
+                    AttemptOutcome.CONNECT_FAILED
+                ]
                 assert [call.body for call in node.calls] == bodies
         dying.close()
 
@@ -276,7 +285,7 @@
                 await client.send("free", oneway=True)
             seen = 0
             while seen < 12:
-                seen += isinstance(await told.get(), Accept)
+                seen += isinstance(await told.get(), RequestArrived)
             server = world.core._module.book.servers["s1"]
             assert server.inflight <= server.budget + server.trial < 12
             go.set()
@@ -295,6 +304,6 @@
             told = world.watch()
             await (await world.client()).send("free", oneway=True)
             kinds = [type(await told.get()) for _ in range(3)]
-            assert kinds == [Accept, Hangup, Response] and Submit not in kinds
+            assert kinds == [RequestArrived, ClientDisconnected, AttemptFinished] and SendAttempt not in kinds
 
     play(scene)
