--- a/tests/world.py
+++ b/tests/world.py
@@ -8,24 +8,31 @@
 from build import MS, SECOND
 
 from dunefield import (
-    Accept,
-    Alarm,
-    Defer,
-    Directory,
-    Echo,
-    Entry,
-    Fail,
-    Hangup,
-    How,
-    Probe,
-    Refuse,
-    Response,
+    AttemptFinished,
+    AttemptOutcome,
+    ClientDisconnected,
+    FailRequest,
+    ProbeResult,
+    ProbeServer,
+    RefuseRequest,
+    RequestArrived,
+    SendAttempt,
+    ServerEntry,
+    ServerListUpdate,
     Settings,
-    Submit,
+    StartTimer,
+    TimerFired,
 )
 from emulator.watch import Witness
 
-OUTCOMES = [How.OK] * 5 + [How.ERROR, How.FULL, How.TIMEOUT, How.CONNECT_FAILED, How.RESET, How.CANCELLED]
+OUTCOMES = [AttemptOutcome.OK] * 5 + [
+    AttemptOutcome.ERROR,
+    AttemptOutcome.FULL,
+    AttemptOutcome.TIMEOUT,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.RESET,
+    AttemptOutcome.CANCELLED,
+]
 
 
 class Request:
@@ -45,7 +52,7 @@
         self.now = 0
         self.log: list[str] = []
         names = [f"10.0.0.{i}:80" for i in range(self.rng.choice([1, 3, 8]))]
-        self.fleet = {name: Entry(name, i % 2, 0, i // 2) for i, name in enumerate(names)}
+        self.fleet = {name: ServerEntry(name, i % 2, 0, i // 2) for i, name in enumerate(names)}
         self.count = 0
         self.restart()
 
@@ -57,7 +64,7 @@
         self.barred: set[str] = set()
         self.witness = Witness(self.set)
         self.balancer = self.make(self.set, self.seed, self.now)
-        self.play(Directory("SAVED", tuple(self.fleet.values())))
+        self.play(ServerListUpdate("SAVED", tuple(self.fleet.values())))
 
     def play(self, event: Any) -> None:
         self.witness.saw(self.now, event)
@@ -68,16 +75,16 @@
 
     def take(self, action: Any) -> None:
         self.witness.did(self.now, action)
-        if isinstance(action, Defer):
-            self.timers.append((self.now + action.in_ns, action.tag))
-        elif isinstance(action, Probe):
+        if isinstance(action, StartTimer):
+            self.timers.append((self.now + action.delay_ns, action.tag))
+        elif isinstance(action, ProbeServer):
             self.probes.append(action.server)
-        elif isinstance(action, Submit):
-            request = self.requests[action.tid]
+        elif isinstance(action, SendAttempt):
+            request = self.requests[action.request_id]
             request.out.add(len(request.sends))
             request.sends.append((action.server, self.now))
-        elif isinstance(action, Refuse | Fail):
-            self.requests[action.tid].ended = True
+        elif isinstance(action, RefuseRequest | FailRequest):
+            self.requests[action.request_id].ended = True
 
     # --- events ---------------------------------------------------------------------------------
 
@@ -97,78 +104,86 @@
         elif draw < 0.985:
             self.restart()
         else:
-            self.play(Response(f"{999:016x}", How.OK, MS, "10.9.9.9:80", 0, True))  # never heard of
+            self.play(
+                AttemptFinished(f"{999:016x}", AttemptOutcome.OK, MS, "10.9.9.9:80", 0, True)
+            )  # never heard of
 
     def pass_time(self, span: int) -> None:
         end = self.now + span
         while True:
             due = min((t for t in self.timers if t[0] <= end), default=None)
             timeout = min(
-                ((r.deadline, tid) for tid, r in self.requests.items() if r.out and r.deadline <= end),
+                (
+                    (r.deadline, request_id)
+                    for request_id, r in self.requests.items()
+                    if r.out and r.deadline <= end
+                ),
                 default=None,
             )
             if due is None and timeout is None:
                 break
             if timeout is not None and (due is None or timeout[0] <= due[0]):
                 self.now = max(self.now, timeout[0])
-                self.finish(timeout[1], min(self.requests[timeout[1]].out), How.TIMEOUT)
+                self.finish(timeout[1], min(self.requests[timeout[1]].out), AttemptOutcome.TIMEOUT)
             elif due is not None:
                 self.timers.remove(due)
                 self.now = max(self.now, due[0])
-                self.play(Alarm(due[1]))
+                self.play(TimerFired(due[1]))
             self.witness.passed(self.now)
         self.now = end
         self.witness.passed(self.now)
 
     def accept(self) -> None:
         self.count += 1
-        tid = f"{self.count:016x}"
+        request_id = f"{self.count:016x}"
         cls = self.rng.randrange(len(self.set.classes))
         ttl = self.rng.choice([5 * MS, 300 * MS, SECOND])
-        self.requests[tid] = Request(self.now + ttl)
-        self.play(Accept(tid, cls, ttl))
+        self.requests[request_id] = Request(self.now + ttl)
+        self.play(RequestArrived(request_id, cls, ttl))
 
     def outcome(self) -> None:
-        waiting = [(tid, go) for tid, r in self.requests.items() for go in sorted(r.out)]
+        waiting = [(request_id, go) for request_id, r in self.requests.items() for go in sorted(r.out)]
         if waiting:
-            tid, go = self.rng.choice(waiting)
-            self.finish(tid, go, self.rng.choice(OUTCOMES))
+            request_id, go = self.rng.choice(waiting)
+            self.finish(request_id, go, self.rng.choice(OUTCOMES))
 
-    def finish(self, tid: str, go: int, how: int) -> None:
-        request = self.requests[tid]
+    def finish(self, request_id: str, go: int, how: int) -> None:
+        request = self.requests[request_id]
         request.out.discard(go)
         server, sent = request.sends[go]
-        if how == How.OK:
+        if how == AttemptOutcome.OK:
             request.ended = True
         load = {"queue": float(self.rng.randrange(9)), "util": self.rng.random()}
-        self.play(Response(tid, how, self.now - sent, server, go, request.ended, load))
+        self.play(AttemptFinished(request_id, how, self.now - sent, server, go, request.ended, load))
 
     def echo(self) -> None:
         if self.probes:
             server = self.probes.pop(self.rng.randrange(len(self.probes)))
-            how = self.rng.choice([How.OK, How.OK, How.TIMEOUT])
-            self.play(Echo(server, how, MS, {"inflight": float(self.rng.randrange(4)), "queue": 0.0}))
+            how = self.rng.choice([AttemptOutcome.OK, AttemptOutcome.OK, AttemptOutcome.TIMEOUT])
+            self.play(ProbeResult(server, how, MS, {"inflight": float(self.rng.randrange(4)), "queue": 0.0}))
 
     def news(self) -> None:
         draw = self.rng.random()
         if draw < 0.2:
-            self.play(Directory("FAILED"))
+            self.play(ServerListUpdate("FAILED"))
         elif draw < 0.4:
             kept = {n: e for n, e in self.fleet.items() if self.rng.random() < 0.8}
             self.barred |= set(self.fleet) - set(kept)
-            self.play(Directory("FULL", tuple(e for n, e in kept.items() if n not in self.barred)))
+            self.play(ServerListUpdate("FULL", tuple(e for n, e in kept.items() if n not in self.barred)))
         else:
             number = self.rng.randrange(10)
             name = f"10.0.0.{number}:80"
             lifecycle = self.rng.choice(["up", "up", "draining", "removed"])
-            entry = Entry(name, number % 2, 0, number // 2, lifecycle, 1.0, self.rng.choice([0, self.now]))
+            entry = ServerEntry(
+                name, number % 2, 0, number // 2, lifecycle, 1.0, self.rng.choice([0, self.now])
+            )
             self.fleet[name] = entry
             (self.barred.discard if lifecycle == "up" else self.barred.add)(name)
-            self.play(Directory("INCREMENTAL", (entry,)))
+            self.play(ServerListUpdate("INCREMENTAL", (entry,)))
 
     def hangup(self) -> None:
-        open_ = [tid for tid, r in self.requests.items() if not r.ended]
+        open_ = [request_id for request_id, r in self.requests.items() if not r.ended]
         if open_:
-            tid = self.rng.choice(open_)
-            self.requests[tid].ended = True
-            self.play(Hangup(tid))
+            request_id = self.rng.choice(open_)
+            self.requests[request_id].ended = True
+            self.play(ClientDisconnected(request_id))
