--- a/dunefield/__init__.py
+++ b/dunefield/__init__.py
@@ -1,4 +1,4 @@
-"""dunefield: the decisions of a sidecar balancer for service-to-service calls."""
+"""Decision logic of a sidecar load balancer for service-to-service calls."""
 
 from dunefield.interface import (
     Action,
--- a/dunefield/interface.py
+++ b/dunefield/interface.py
@@ -1,7 +1,7 @@
-"""The balancer's settings, events and actions. All times are whole nanoseconds on one clock.
+"""Settings, events and actions of the balancer. All times are integer nanoseconds on one clock.
 
-`Settings.parse` reads the settings object as handed over at start; every absent optional key has a
-default here, so the decisions never meet a missing one.
+`Settings.parse` reads the settings object passed in at startup. Every optional key has a default here,
+so the decision code never has to handle a missing key.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 from typing import Any, NamedTuple
 
 SECOND = 1_000_000_000
-# Part of the servers' idle limit after which a connection is retired: a burst leaves many.
+# A connection is retired after being idle for this fraction of the servers' idle timeout; a burst of
+# requests leaves many idle connections behind.
 IDLE_TIMEOUT_FRACTION = 0.4
 
 
 class AttemptOutcome(enum.IntEnum):
-    """Outcome of an attempt."""
+    """Outcome of an attempt. `MOOT` means that the attempt was never sent."""
 
     OK = 100
     ERROR = 301
@@ -31,16 +32,16 @@
 
 
 NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT})
-"""Outcomes that prove the attempt had no effect."""
+"""Outcomes that guarantee that the server did not execute the request."""
 
 
 class SettingsError(ValueError):
-    """The settings object cannot be used; the message names the key."""
+    """Raised when the settings object is invalid; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request: what an answer is worth, by when, and how it may be repeated."""
+    """A class of requests: value of a response, target latency and deadline, and retry rules."""
 
     name: str
     target_ns: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """Limits that the deployment sets on attempts, connections, probes and CPU time."""
 
     max_attempts: int = 1
     hedging: bool = False
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invariants:
-    """Figures of the four rules."""
+    """Parameters of the four rules that a balancer must not break."""
 
     cold_start_fraction: float = 0.1
     warm_up_ns: int = 30 * SECOND
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its share of the service."""
+    """A tenant with its share of the capacity and its allowed request rate."""
 
     name: str
     share: float = 1.0
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """Configuration of one balancer instance."""
 
     classes: tuple[RequestClass, ...]
     zones: tuple[str, ...] = ()
@@ -126,7 +127,7 @@
 
     @classmethod
     def parse(cls, raw: Any) -> Settings:
-        """Build settings from the decoded settings object; raise SettingsError on what is unusable."""
+        """Parses a decoded JSON settings object. Raises SettingsError if a value is invalid."""
         root = _Reader(raw, "settings")
         classes = tuple(_request_class(item) for item in root.items("classes"))
         if not classes:
@@ -163,7 +164,7 @@
 
 
 class _Reader:
-    """Typed access to one JSON object, with its path for messages."""
+    """Typed access to a JSON object that keeps the object's path for error messages."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
@@ -253,11 +254,11 @@
     )
 
 
-# --- Events: what the instance sees -------------------------------------------------------------
+# --- Events: inputs of the balancer -------------------------------------------------------------
 
 
 class ServerEntry(NamedTuple):
-    """One line of a server list."""
+    """One server in a server list."""
 
     server: str
     zone: int = 0
@@ -269,7 +270,7 @@
 
 
 class ServerListUpdate(NamedTuple):
-    """News of the server list. `scope` is INCREMENTAL, FULL, SAVED or FAILED."""
+    """A change of the server list. `scope` is INCREMENTAL, FULL, SAVED or FAILED."""
 
     scope: str
     entries: tuple[ServerEntry, ...] = ()
@@ -277,7 +278,7 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client's request; exactly one final answer is owed."""
+    """A client request has arrived; it must get exactly one final response."""
 
     request_id: str
     class_index: int
@@ -287,11 +288,11 @@
     key: str = ""
     retry: bool = False
     write: bool = False
-    body_incomplete: bool = False  # body still arriving, relayed as it comes, until `BodyCompleted`
+    body_incomplete: bool = False  # relayed while it arrives, until `BodyCompleted`
 
 
 class AttemptFinished(NamedTuple):
-    """The one outcome of an attempt. `load` is the server's report, empty if none came."""
+    """An attempt has ended; sent once per attempt. `load` is the server's load report, empty if none came."""
 
     request_id: str
     outcome: int
@@ -303,7 +304,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed answer has started: the attempt now belongs to the client."""
+    """A streamed response has started: from now on the attempt is bound to the client."""
 
     request_id: str
     server: str = ""
@@ -312,31 +313,31 @@
 
 
 class BodyCompleted(NamedTuple):
-    """The body of a request that was growing has come whole: from here on a server may work on it."""
+    """An incomplete request body has arrived in full: from now on a server may process the request."""
 
     request_id: str
 
 
 class BodyDiscarded(NamedTuple):
-    """Of a request that is still coming more has gone out than is kept: no further attempt is possible."""
+    """Part of an incomplete body was sent and is no longer buffered: no further attempt is possible."""
 
     request_id: str
 
 
 class ClientDisconnected(NamedTuple):
-    """The client left; nothing more is owed."""
+    """The client has disconnected; it needs no response."""
 
     request_id: str
 
 
 class TimerFired(NamedTuple):
-    """A timer asked for by `StartTimer` has come due."""
+    """A timer started by `StartTimer` has expired."""
 
     tag: int
 
 
 class ProbeResult(NamedTuple):
-    """The result of one `ProbeServer`. `load` is the server's report, empty if none came."""
+    """The result of a `ProbeServer` action. `load` is the server's load report, empty if none came."""
 
     server: str
     outcome: int
@@ -345,7 +346,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """Bytes that this peer sent by `SendPeerMessage`."""
+    """Bytes that a peer sent with `SendPeerMessage`."""
 
     peer: int
     data: bytes
@@ -365,11 +366,11 @@
 )
 
 
-# --- Actions: what the instance wants done ------------------------------------------------------
+# --- Actions: outputs of the balancer ------------------------------------------------------
 
 
 class SendAttempt(NamedTuple):
-    """Start the next attempt for a request, given up at `deadline_ns`."""
+    """Start the next attempt of a request; it times out at `deadline_ns`."""
 
     request_id: str
     server: str
@@ -377,37 +378,37 @@
 
 
 class RefuseRequest(NamedTuple):
-    """Final answer: declined, and trying again is harmless."""
+    """Final response: the request was not executed and may safely be retried."""
 
     request_id: str
     retry_after_ns: int
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed, with no promise about effects."""
+    """Final response: the request failed and may or may not have been executed."""
 
     request_id: str
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     request_id: str
     attempt: int
 
 
 class SubscribeServerList(NamedTuple):
-    """Ask discovery for the list and its changes from now on, or end that."""
+    """Subscribe to the server list and its changes, or unsubscribe if `want` is false."""
 
     want: bool = True
 
 
 class FetchServerList(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Request the full server list from discovery once."""
 
 
 class ProbeServer(NamedTuple):
-    """Check a server; an `ProbeResult` follows."""
+    """Probe a server; a `ProbeResult` follows."""
 
     server: str
 
@@ -419,20 +420,20 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Send bytes to the peer with this index, or to every peer if it is -1."""
+    """Send bytes to the peer with this index, or to all peers if it is -1."""
 
     peer: int
     data: bytes
 
 
 class LogMessage(NamedTuple):
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 class StartTimer(NamedTuple):
-    """Ask for an `TimerFired` after `delay_ns`."""
+    """Request a `TimerFired` event after `delay_ns`."""
 
     delay_ns: int
     tag: int
