--- a/hollyport/core/requests.py
+++ b/hollyport/core/requests.py
@@ -149,7 +149,7 @@
 
     def census(self) -> tuple[int, int]:
         """Servers in the list, and those of them that the module avoids now."""
-        return self._module.census(self._clock())
+        return self._module.server_counts(self._clock())
 
     def request(self, asked: Asked, terms: Terms) -> None:
         """Take a request."""
--- a/mesh/proxy/server_beats.py
+++ b/mesh/proxy/server_beats.py
@@ -9,7 +9,7 @@
 from expression import Error, Ok, Result
 from loguru import logger
 
-from dunefield.budget import STEPS
+from dunefield.budget import MAX_STEPS
 from hollyport.http.message import Message as Request
 from mesh.errors import ANSWERS, ErrorKind
 from mesh.proxy.context import ProxyContext
@@ -109,7 +109,7 @@
         queue = self._queue
         if instance and not queue.instance and instance not in queue.over:
             logger.info("the server says who it is", instance=instance)
-            queue.life(instance, STEPS, 0.0, True)
+            queue.life(instance, MAX_STEPS, 0.0, True)
             self._changed()
 
     def next_record(self) -> SidecarRecord:
--- a/mesh/proxy/server_queue.py
+++ b/mesh/proxy/server_queue.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from dunefield.budget import STEPS, Budget
+from dunefield.budget import MAX_STEPS, Budget
 from dunefield.interface import IDLE_TIMEOUT_FRACTION, AttemptOutcome
 from hollyport.http.back import HttpBack, Reply
 from hollyport.nodes.upstream import Exchange, Upstream
@@ -91,7 +91,7 @@
         self.over: set[str] = set()  # ids of lives that have ended
         self.slots = 1
         self.open = False
-        self.max_conns = STEPS
+        self.max_conns = MAX_STEPS
         self.cold_until = 0.0
         self.budget = self._new_budget()
         self.queue: list[tuple[float, int, Job]] = []  # a heap, by when a start is due
@@ -108,7 +108,7 @@
         """Exception "told slots": a server that is warm and says how many it serves together begins at half
         of that, not at 1; the rest comes by trials. A fleet that starts anew with all its clients there would
         else spend seconds on queues that no server needs."""
-        return Budget(1.0, min(STEPS, self.slots, self.max_conns), -(-told // 2))
+        return Budget(1.0, min(MAX_STEPS, self.slots, self.max_conns), -(-told // 2))
 
     def life(self, instance: str, slots: int, cold_s: float, is_open: bool) -> None:
         """What the server told of itself. A new id is a new process: nothing learned of the old one holds."""
@@ -123,7 +123,7 @@
                 self.budget = self._new_budget(slots if cold_s <= 0 else 1)
                 self._samples, self._ill = 0, 0.0
                 self.upstream.update(instance, self._address, 0, True)
-            self.budget.most = min(STEPS, slots, self.max_conns)
+            self.budget.max_steps = min(MAX_STEPS, slots, self.max_conns)
         self.open = is_open
         if not is_open:
             self.turn_away(ErrorKind.LEAVING)
@@ -148,7 +148,7 @@
     def limit(self, max_conns: int) -> None:
         """What the configuration allows."""
         self.max_conns = max_conns
-        self.budget.most = max(1, min(STEPS, self.slots, max_conns))
+        self.budget.max_steps = max(1, min(MAX_STEPS, self.slots, max_conns))
 
     def gone(self) -> None:
         """The server has ended, or another has its address."""
@@ -182,7 +182,7 @@
 
     def wait(self) -> float:
         """Seconds until a call that came now would go, about."""
-        room = self.budget.budget
+        room = self.budget.limit
         if self.out < room:
             return 0.0
         return (len(self.queue) + len(self.late) + 1) * self.mean / max(1, room)
@@ -191,7 +191,7 @@
         """Whether a call that came now would not be given back at once."""
         if not self.open or not self.instance:
             return False
-        return bool(self.budget.k) or self.budget.trial_due(int(self._loop.time() * 1e9))
+        return bool(self.budget.steps) or self.budget.trial_allowed(int(self._loop.time() * 1e9))
 
     def failing(self) -> float:
         """The part of calls that fail here of late. It fades with time: whoever gets no calls for it can't
@@ -207,7 +207,7 @@
     def _ahead(self, due: float) -> float:
         """The same for one with this due time: only what is due before it counts."""
         before = sum(1 for entry in self.queue if entry[0] <= due)
-        return (before + 1) * self.mean / max(1, self.budget.budget)
+        return (before + 1) * self.mean / max(1, self.budget.limit)
 
     def submit(self, job: Job) -> None:
         """Take a call; it goes at once, waits by when it is due, or is given back."""
@@ -215,13 +215,13 @@
         if not self.open or not self.instance:
             self._end(job, ErrorKind.LEAVING, False)
             return
-        if not self.budget.k and (self.budget.trial or now * 1e9 < self.budget.retry_at):
+        if not self.budget.steps and (self.budget.trial_in_flight or now * 1e9 < self.budget.retry_at):
             self._end(job, ErrorKind.FULL, False)  # nothing can take it soon
             return
-        if self.out >= self.budget.budget and not self.light(job.kind) and not self._fits(now, job):
+        if self.out >= self.budget.limit and not self.light(job.kind) and not self._fits(now, job):
             # What is refused is refused at once: kept to be refused later, it would cost its client time.
             self._pump()
-            if self.out >= self.budget.budget and not self._displace(now, job):
+            if self.out >= self.budget.limit and not self._displace(now, job):
                 self._end(job, ErrorKind.FULL, False)
                 return
         self._count += 1
@@ -242,7 +242,7 @@
         waiting = [*(entry[2] for entry in self.queue), *self.late]
         less = [one for one in waiting if one.priority > job.priority and not self.light(one.kind)]
         less.sort(key=lambda one: (one.priority, one.due))
-        turn_s = self.mean / max(1, self.budget.budget)
+        turn_s = self.mean / max(1, self.budget.limit)
         sooner = sum(1 for one in less if one.due <= job.due)
         if (
             now + self._ahead(job.due) - sooner * turn_s > job.due
@@ -291,7 +291,7 @@
     def _pump(self) -> None:
         now = self._loop.time()
         while (job := self._next(now)) is not None:
-            goes, trial = self.budget.verdict(int(now * 1e9), self.out)
+            goes, trial = self.budget.check_admission(int(now * 1e9), self.out)
             if not goes:
                 break
             if self.queue and self.queue[0][2] is job:
@@ -305,7 +305,7 @@
         if self._timer is None and (self.queue or self.late):
             now = self._loop.time()
             at = min([entry[2].last for entry in self.queue] + [job.last for job in self.late])
-            if not self.budget.trial and self.budget.retry_at > now * 1e9:
+            if not self.budget.trial_in_flight and self.budget.retry_at > now * 1e9:
                 at = min(at, self.budget.retry_at / 1e9)
             self._timer = self._loop.call_later(max(0.001, at - now), self._look)
 
@@ -334,7 +334,7 @@
             return
         exchange.expect = (b"x-attempt-id", job.tid)
         job.trial, job.exchange, job.began = trial, exchange, now
-        self.budget.trial = self.budget.trial or trial
+        self.budget.trial_in_flight = self.budget.trial_in_flight or trial
         self.out += 1
         if job.overdue is not None:
             job.timer = self._loop.call_later(OVERDUE * self.takes(job.kind), job.overdue)
@@ -349,7 +349,7 @@
         reply: Reply | None = answer
         trial = job.trial and current
         if trial:
-            budget.trial = False
+            budget.trial_in_flight = False
         if reply is not None and (reply.header(b"x-not-run") is not None or reply.status == 421):
             if current:
                 self._failed(now, trial)
@@ -357,7 +357,7 @@
                     self.gone()
                     self.replaced((reply.header(b"x-instance-id") or b"").decode("latin-1"))
                 else:
-                    budget.refused()
+                    budget.lower_concurrency()
             self._end(job, ErrorKind.LEAVING if reply.status == 421 else ErrorKind.FULL, True, reply)
         elif reply is not None and (reply.header(b"x-server-seal") is not None or reply.status >= 400):
             if current:
@@ -382,9 +382,9 @@
     def _served(self, now: float, job: Job, trial: bool, well: bool) -> None:
         """What an answer tells. A failure comes sooner than the work would: it tells no pace, or who fails
         would draw all calls."""
-        self.budget.accepted()
+        self.budget.raise_concurrency()
         if trial:
-            self.budget.grow()
+            self.budget.add_step()
         if not well:
             return
         self._samples += 1
@@ -399,11 +399,11 @@
         """What a refusal, a failure, a break or silence tells."""
         budget, at = self.budget, int(now * 1e9)
         if trial:
-            budget.hold_off(at, FIRST_BACKOFF_NS, LAST_BACKOFF_NS, random.random)
-        elif broken and budget.k:
-            budget.lower()
-            if not budget.k:
-                budget.shut(at, FIRST_BACKOFF_NS, random.random)
+            budget.back_off(at, FIRST_BACKOFF_NS, LAST_BACKOFF_NS, random.random)
+        elif broken and budget.steps:
+            budget.remove_step()
+            if not budget.steps:
+                budget.start_backoff(at, FIRST_BACKOFF_NS, random.random)
 
     @staticmethod
     def _written(job: Job) -> bool:
--- a/mesh/proxy/sidecar_figures.py
+++ b/mesh/proxy/sidecar_figures.py
@@ -42,7 +42,7 @@
     )
     yield gauge("mesh_server_open", "1 while the server takes calls.", queue.open)
     yield gauge("mesh_server_slots", "What the server says it serves together.", queue.slots)
-    yield gauge("mesh_server_budget", "Calls that may be at the server together.", queue.budget.budget)
+    yield gauge("mesh_server_budget", "Calls that may be at the server together.", queue.budget.limit)
     yield gauge("mesh_server_failing", "Part of its calls that fail of late.", queue.failing())
     yield gauge("mesh_server_call_seconds", "What a call takes there of late.", queue.mean)
 
--- a/tests/core/test_pools.py
+++ b/tests/core/test_pools.py
@@ -135,7 +135,7 @@
                 assert (await client.ask("free")).what == "served"
                 assert (await http.ask("free", timeout_s=0.5)).what == "refused"
                 assert node.connections > before and len(node.calls) == 2
-                assert world.core._module.book.servers["s1"].started == 10**6
+                assert world.core._module.state.servers["s1"].started == 10**6
 
     play(scene)
 
--- a/tests/emulator/test_hard.py
+++ b/tests/emulator/test_hard.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, replace
 
 import pytest
-from build import accept, fleet, only, outcome
+from build import attempt_finished, fleet, of_type, request_arrived
 
 from dunefield import AttemptOutcome, Balancer, SendAttempt, ServerListUpdate, Settings
 from emulator.day import MS, Day
@@ -185,8 +185,8 @@
 
     def __init__(self, settings, seed, now):
         super().__init__(settings, seed, now)
-        self.promises.may_go = lambda now, call, server: now < call.deadline and server.up
-        self.promises.may_refuse = lambda call: True
+        self.rules.may_send = lambda now, call, server: now < call.deadline and server.up
+        self.rules.may_refuse = lambda call: True
 
 
 @pytest.mark.parametrize(
@@ -206,7 +206,7 @@
 def test_a_call_after_its_end_is_seen():
     made = watched(Balancer)(Day().told(0), 1, 0)
     made.handle(0, fleet(2))
-    send = only(made.handle(0, accept("a")), SendAttempt)[0]
-    made.handle(MS, outcome(send, AttemptOutcome.OK))
+    send = of_type(made.handle(0, request_arrived("a")), SendAttempt)[0]
+    made.handle(MS, attempt_finished(send, AttemptOutcome.OK))
     with pytest.raises(Broken, match="after the end"):
         made.witness.did(2 * MS, send)
--- a/tests/emulator/test_soak.py
+++ b/tests/emulator/test_soak.py
@@ -116,8 +116,8 @@
 
 def test_no_table_grows_in_long_service(sound):
     _, minutes = sound
-    assert len(minutes[0]) > 15 and "book.servers" in minutes[0]
-    assert max(m["book.servers"] for m in minutes) < 3 * DAY.servers  # of 275 that there were
+    assert len(minutes[0]) > 15 and "state.servers" in minutes[0]
+    assert max(m["state.servers"] for m in minutes) < 3 * DAY.servers  # of 275 that there were
     assert not grown(minutes)
 
 
@@ -136,12 +136,12 @@
 
     def __init__(self, settings, seed, now):
         super().__init__(settings, seed, now)
-        self.plain, self.ring.relist = self.ring.relist, self.relist
+        self.plain, self.server_subset.rebuild = self.server_subset.rebuild, self.relist
 
     def relist(self):
-        kept = dict(self.book.servers)
+        kept = dict(self.state.servers)
         self.plain()
-        self.book.servers = {**kept, **self.book.servers}
+        self.state.servers = {**kept, **self.state.servers}
 
 
 class Debtor(Balancer):
@@ -149,14 +149,14 @@
 
     def __init__(self, settings, seed, now):
         super().__init__(settings, seed, now)
-        self.owed, self.plain, self.book.drop = {}, self.book.drop, self.drop
+        self.owed, self.plain, self.state.drop = {}, self.state.drop, self.drop
 
     def drop(self, request_id):
-        self.owed[request_id] = self.book.calls.get(request_id)
+        self.owed[request_id] = self.state.calls.get(request_id)
         self.plain(request_id)
 
 
-@pytest.mark.parametrize("module, table", [(Hoarder, "book.servers"), (Debtor, "owed")])
+@pytest.mark.parametrize("module, table", [(Hoarder, "state.servers"), (Debtor, "owed")])
 def test_what_grows_is_found(module, table, monkeypatch):
     monkeypatch.setitem(globals(), "MINUTES", 6)
     monkeypatch.setitem(globals(), "DAY", replace(DAY, seconds=360.0))
--- a/tests/emulator/test_whole.py
+++ b/tests/emulator/test_whole.py
@@ -18,12 +18,12 @@
 
     def __init__(self, settings, seed, now):
         super().__init__(settings, seed, now)
-        self.pick.pick_own = self.drawn
+        self.selection.select_from_subset = self.drawn
 
     def drawn(self, now, call):
-        size = max(1, self.ring.within(call, 0))
-        server = self.ring.subset[int(self.book.random() * size)]
-        return (server, False, call.size) if self.trust.fits(now, server) and server.k else None
+        size = max(1, self.server_subset.size_for(call, 0))
+        server = self.server_subset.preference_order[int(self.state.random() * size)]
+        return (server, False, call.expected_ns) if self.health.admits(now, server) and server.steps else None
 
 
 def test_every_request_and_every_attempt_has_one_end():
@@ -38,7 +38,7 @@
     for machine in fleet.machines.values():
         machine.node.check()
     for sidecar in fleet.sidecars:
-        assert not sidecar.book.calls and not sidecar.book.attempts
+        assert not sidecar.state.calls and not sidecar.state.attempts
 
 
 def test_one_seed_is_one_day_and_requests_do_not_hang_on_the_design():
--- a/tests/mesh/test_mesh_budget.py
+++ b/tests/mesh/test_mesh_budget.py
@@ -4,33 +4,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dunefield.budget import STEPS, Budget
+from dunefield.budget import MAX_STEPS, Budget
 from mesh.proxy.endpoints import FRESH_S, MOST_KINDS, Endpoint, OwnZonePreference, best, draw, fresh
 from mesh.proxy.retry_budget import RetryBudget
 
 MS = 1_000_000
 
 
-def budget(most=STEPS):
+def budget(most=MAX_STEPS):
     return Budget(1.0, most)
 
 
 def trial(made, now=0, served=True, random=lambda: 0.5):
     """One trial there and back."""
-    assert made.verdict(now, made.budget) == (True, True)
-    made.trial = True
-    assert made.verdict(now, made.budget) == (False, False)
-    made.trial = False
+    assert made.check_admission(now, made.limit) == (True, True)
+    made.trial_in_flight = True
+    assert made.check_admission(now, made.limit) == (False, False)
+    made.trial_in_flight = False
     if served:
-        made.accepted()
-        made.grow()
+        made.raise_concurrency()
+        made.add_step()
     else:
-        made.hold_off(now, 100 * MS, 1000 * MS, random)
+        made.back_off(now, 100 * MS, 1000 * MS, random)
 
 
-def grown(to, most=STEPS):
+def grown(to, most=MAX_STEPS):
     made = budget(most)
-    while made.k < to:
+    while made.steps < to:
         trial(made)
     return made
 
@@ -40,31 +40,31 @@
 
 def test_k_begins_at_one_and_each_served_trial_adds_a_step_up_to_the_clamp():
     made = budget(4)
-    assert (made.k, made.budget) == (1, 1)
+    assert (made.steps, made.limit) == (1, 1)
     for k in (2, 3, 4):
         trial(made)
-        assert made.k == made.budget == k
-    assert made.verdict(0, 3) == (True, False)
-    assert made.verdict(0, 4) == (False, False)
-    made.grow()
-    assert made.k == 4
-    assert Budget(1.0, 0).budget == 1
-    assert (Budget(1.0, 9, 5).k, Budget(1.0, 3, 5).k, Budget(1.0, 9, 0).k) == (5, 3, 1)
+        assert made.steps == made.limit == k
+    assert made.check_admission(0, 3) == (True, False)
+    assert made.check_admission(0, 4) == (False, False)
+    made.add_step()
+    assert made.steps == 4
+    assert Budget(1.0, 0).limit == 1
+    assert (Budget(1.0, 9, 5).steps, Budget(1.0, 3, 5).steps, Budget(1.0, 9, 0).steps) == (5, 3, 1)
 
 
 def test_there_is_one_trial_at_a_time_and_calls_within_the_budget_go_beside_it():
     made = grown(2)
-    made.trial = True
-    assert made.verdict(0, 2) == (False, False) and made.verdict(0, 1) == (True, False)
+    made.trial_in_flight = True
+    assert made.check_admission(0, 2) == (False, False) and made.check_admission(0, 1) == (True, False)
 
 
 def test_backoff_blocks_growth_and_nothing_else():
     made = grown(3)
     trial(made, served=False)
-    assert made.k == 3 and made.retry_at == 100 * MS
-    assert made.verdict(1, 2) == (True, False)
-    assert made.verdict(100 * MS - 1, 3) == (False, False)
-    assert made.verdict(100 * MS, 3) == (True, True)
+    assert made.steps == 3 and made.retry_at == 100 * MS
+    assert made.check_admission(1, 2) == (True, False)
+    assert made.check_admission(100 * MS - 1, 3) == (False, False)
+    assert made.check_admission(100 * MS, 3) == (True, True)
 
 
 def test_backoff_doubles_to_its_last_and_is_forgotten_with_a_served_trial():
@@ -82,36 +82,42 @@
 
 def test_at_zero_one_trial_goes_once_the_backoff_is_over():
     made = grown(2)
-    made.lower()
-    assert made.k == 1 and made.backoff == 0
-    made.lower()
-    made.shut(0, 100 * MS, lambda: 0.5)
-    assert made.k == 0 and made.budget == 0 and made.retry_at == 100 * MS
-    made.lower()
-    assert made.k == 0
-    assert made.verdict(100 * MS - 1, 0) == (False, False)
+    made.remove_step()
+    assert made.steps == 1 and made.backoff == 0
+    made.remove_step()
+    made.start_backoff(0, 100 * MS, lambda: 0.5)
+    assert made.steps == 0 and made.limit == 0 and made.retry_at == 100 * MS
+    made.remove_step()
+    assert made.steps == 0
+    assert made.check_admission(100 * MS - 1, 0) == (False, False)
     trial(made, 100 * MS)
-    assert made.k == 1 and made.verdict(100 * MS, 0) == (True, False)
+    assert made.steps == 1 and made.check_admission(100 * MS, 0) == (True, False)
 
 
 def test_an_answer_that_it_is_full_lowers_the_figure_and_served_calls_raise_it():
     made = grown(10)
-    made.refused()
-    assert made.budget == 7 and made.k == 10
+    made.lower_concurrency()
+    assert made.limit == 7 and made.steps == 10
     for _ in range(20):
-        made.refused()
-    assert made.budget == 1
+        made.lower_concurrency()
+    assert made.limit == 1
     for _ in range(100):
-        made.accepted()
-    assert made.figure == made.ceiling and made.budget == 10
+        made.raise_concurrency()
+    assert made.concurrency == made.max_concurrency and made.limit == 10
 
 
 def test_a_new_process_begins_anew():
     made = grown(7)
-    made.refused()
+    made.lower_concurrency()
     trial(made, served=False)
-    made.renew(2)
-    assert (made.k, made.figure, made.trial, made.backoff, made.retry_at) == (2, 1.0, False, 0, 0)
+    made.reset_budget(2)
+    assert (made.steps, made.concurrency, made.trial_in_flight, made.backoff, made.retry_at) == (
+        2,
+        1.0,
+        False,
+        0,
+        0,
+    )
 
 
 EVENTS = ["send", "served", "failed", "full", "broken"]
@@ -123,28 +129,28 @@
     for event in events:
         now += 50 * MS
         if event == "send":
-            goes, is_trial = made.verdict(now, len(out))
+            goes, is_trial = made.check_admission(now, len(out))
             if goes:
-                assert len(out) < made.budget + is_trial
-                assert not (is_trial and made.trial)
-                made.trial = made.trial or is_trial
+                assert len(out) < made.limit + is_trial
+                assert not (is_trial and made.trial_in_flight)
+                made.trial_in_flight = made.trial_in_flight or is_trial
                 out.append(is_trial)
         elif out:
             was_trial = out.pop(0)
             if was_trial:
-                made.trial = False
+                made.trial_in_flight = False
             if event == "served":
-                made.accepted()
+                made.raise_concurrency()
                 if was_trial:
-                    made.grow()
+                    made.add_step()
             elif was_trial:
-                made.hold_off(now, 100 * MS, 1000 * MS, lambda: 0.5)
+                made.back_off(now, 100 * MS, 1000 * MS, lambda: 0.5)
             if event == "full":
-                made.refused()
+                made.lower_concurrency()
             if event == "broken":
-                made.lower()
-        assert 0 <= made.k <= most and made.budget <= most
-        assert sum(out) == made.trial
+                made.remove_step()
+        assert 0 <= made.steps <= most and made.limit <= most
+        assert sum(out) == made.trial_in_flight
 
 
 # --- all sidecars
--- a/tests/mesh/test_mesh_offers.py
+++ b/tests/mesh/test_mesh_offers.py
@@ -372,7 +372,7 @@
     sidecar, link = scene.sidecar, Link("n2")
     sidecar.server_queue.life("i-1", 5, 0.0, True)
     budget = sidecar.server_queue.budget
-    budget.most, sidecar.server_queue.out = budget.k, budget.budget  # all are at work
+    budget.max_steps, sidecar.server_queue.out = budget.steps, budget.limit  # all are at work
     sidecar.server_queue.mean = 0.001
     sidecar.hear(link, message(kind_of(messages.Forward), 7, _call(True)))
     sidecar.hear(link, message(kind_of(messages.Forward), 8, _call(True)))
--- a/tests/mesh/test_mesh_server_queue.py
+++ b/tests/mesh/test_mesh_server_queue.py
@@ -76,8 +76,8 @@
     made = ServerQueue(loop, Address("127.0.0.1", 9), 64)
     made.upstream = Wire()
     made.life("i-1", 4, 0.0, True)
-    made.budget.k = 1
-    made.budget.most = 1
+    made.budget.steps = 1
+    made.budget.max_steps = 1
     yield made
     loop.close()
 
@@ -174,11 +174,11 @@
 
 def test_a_server_that_says_it_did_not_run_it_is_believed_and_its_figure_falls(server_queue):
     told = []
-    server_queue.budget.most = 4
+    server_queue.budget.max_steps = 4
     server_queue.submit(job(server_queue, "a", 1, told=told))
-    figure = server_queue.budget.figure
+    figure = server_queue.budget.concurrency
     server_queue.upstream.sent[0].reply(503, [(b"x-not-run", b"1")])
-    assert told == [("a", ErrorKind.FULL, True)] and server_queue.budget.figure < figure
+    assert told == [("a", ErrorKind.FULL, True)] and server_queue.budget.concurrency < figure
 
 
 def test_another_server_at_the_address_ends_that_life_and_says_who_it_is(server_queue):
@@ -194,23 +194,23 @@
     told = []
     server_queue.submit(job(server_queue, "a", 1, told=told))
     server_queue.upstream.sent[0].end(AttemptOutcome.RESET)
-    assert server_queue.budget.k == 0
+    assert server_queue.budget.steps == 0
     server_queue.submit(job(server_queue, "b", 1, told=told))
     assert told[-1] == ("b", ErrorKind.FULL, False)
     server_queue._loop.now += 1.0
     server_queue.submit(job(server_queue, "c", 1, told=told))
-    assert names(server_queue) == ["c"] and server_queue.budget.trial
+    assert names(server_queue) == ["c"] and server_queue.budget.trial_in_flight
     server_queue.submit(job(server_queue, "d", 1, told=told))
     assert told[-1] == ("d", ErrorKind.FULL, False)
     server_queue.upstream.sent[0].reply()
-    assert server_queue.budget.k == 1 and not server_queue.budget.trial
+    assert server_queue.budget.steps == 1 and not server_queue.budget.trial_in_flight
 
 
 def test_a_warm_server_begins_at_half_of_its_slots_and_a_cold_one_at_one(server_queue):
     server_queue.life("i-2", 8, 0.0, True)
-    assert server_queue.budget.k == 4 and server_queue.instance == "i-2" and "i-1" in server_queue.over
+    assert server_queue.budget.steps == 4 and server_queue.instance == "i-2" and "i-1" in server_queue.over
     server_queue.life("i-3", 8, 2.0, True)
-    assert server_queue.budget.k == 1
+    assert server_queue.budget.steps == 1
 
 
 def answered(server_queue, kind, took, times=3):
@@ -283,7 +283,7 @@
 
 def test_a_pool_that_is_shut_says_so(server_queue):
     assert server_queue.takes_calls()
-    server_queue.budget.k, server_queue.budget.retry_at = 0, int((server_queue._loop.now + 1) * 1e9)
+    server_queue.budget.steps, server_queue.budget.retry_at = 0, int((server_queue._loop.now + 1) * 1e9)
     assert not server_queue.takes_calls()
     server_queue._loop.now += 1.1
     assert server_queue.takes_calls(), "the one trial may go"
@@ -312,10 +312,10 @@
     first.repeatable = True
     for call in (first, second):
         server_queue.submit(call)
-    k = server_queue.budget.k
+    k = server_queue.budget.steps
     server_queue.withdraw(first)
     assert told == [("a", ErrorKind.BROKEN, True)] and names(server_queue) == ["b"]
-    assert server_queue.failing() == 0.0 and server_queue.budget.k == k and server_queue.out == 1
+    assert server_queue.failing() == 0.0 and server_queue.budget.steps == k and server_queue.out == 1
 
 
 def test_one_that_may_not_runs_on(server_queue):
@@ -329,14 +329,14 @@
 
 
 def test_a_trial_that_is_broken_off_leaves_room_for_the_next(server_queue):
-    server_queue.budget.most = 3
+    server_queue.budget.max_steps = 3
     running, trial = job(server_queue, "a", 1), job(server_queue, "b", 2)
     trial.repeatable = True
     for call in (running, trial):
         server_queue.submit(call)
-    assert trial.trial and server_queue.budget.trial
+    assert trial.trial and server_queue.budget.trial_in_flight
     server_queue.withdraw(trial)
-    assert not server_queue.budget.trial
+    assert not server_queue.budget.trial_in_flight
     server_queue.submit(job(server_queue, "c", 3))
     assert names(server_queue) == ["a", "c"]
 
--- a/tests/registries/test_eureka.py
+++ b/tests/registries/test_eureka.py
@@ -144,8 +144,8 @@
                 registry.register("node", raw("new", one.port), server.now_ms())
                 await until(lambda: up(sidecar) == {"new"})
                 assert "old" not in sidecar._upstream._targets
-                server_of = sidecar.core._module.book.servers
-                assert server_of["new"].inflight == 0 and server_of["old"].inflight == 1
+                server_of = sidecar.core._module.state.servers
+                assert server_of["new"].in_flight == 0 and server_of["old"].in_flight == 1
                 assert server_of["new"].started > 0 and server_of["old"].started < server_of["new"].started
                 go.set()
                 assert (await first)[2] == b"done"
@@ -180,7 +180,7 @@
                     await until(lambda s=sidecar: up(s) == {"i1"})
                     registry.register("node", raw("i2", two.port), server.now_ms())
                     await until(lambda s=sidecar: len(up(s)) == 2)
-                    started = sidecar.core._module.book.servers["i2"].started / 1e9
+                    started = sidecar.core._module.state.servers["i2"].started / 1e9
                     assert abs(time.time() - started) < 30
 
     play(scene)
--- a/tests/registries/test_store.py
+++ b/tests/registries/test_store.py
@@ -171,10 +171,10 @@
             kept = {"options": {"cache_file": str(path)}}
             async with daemon(server, **kept) as (sidecar, client):
                 await until(lambda: up(sidecar) == {"i1"} and path.exists())
-                started = sidecar.core._module.book.servers["i1"].started
+                started = sidecar.core._module.state.servers["i1"].started
             server.misbehave = "silent"
             async with daemon(server, **kept) as (sidecar, client):
-                assert up(sidecar) == {"i1"} and sidecar.core._module.book.servers["i1"].started == started
+                assert up(sidecar) == {"i1"} and sidecar.core._module.state.servers["i1"].started == started
                 assert (await client.ask())[0] == 200
             path.write_bytes(path.read_bytes()[:-3])
             async with daemon(server, **kept) as (sidecar, client):
--- a/tests/rehearsal/broken.py
+++ b/tests/rehearsal/broken.py
@@ -66,24 +66,24 @@
 def resend_at_once() -> None:
     """What is taken not to have run goes to another server whatever its budget and the time that is left say:
     short of processors those left nothing to resend in one run of the tests, and all was refused instead."""
-    plain = retries.Retries.again
+    plain = retries.Retries.retry
 
     def again(self, now, call, free):
-        for server in sorted(self._book.up, key=lambda s: s.inflight):
-            if server not in call.tried and self._promises.send(now, call, server, False):
+        for server in sorted(self._state.up_servers, key=lambda s: s.in_flight):
+            if server not in call.tried_servers and self._rules.send(now, call, server, False):
                 return
         plain(self, now, call, free)
 
-    retries.Retries.again = again
+    retries.Retries.retry = again
 
 
 def refuses_what_ran() -> None:
-    promises.Promises.may_refuse = lambda self, call: True
+    promises.AttemptRules.may_refuse = lambda self, call: True
 
 
 def sends_to_drained() -> None:
     discovery.LIFECYCLES = {**discovery.LIFECYCLES, "DRAINING": "up"}
-    plain = asking.Asking.echo
+    plain = asking.ProbedSelection.handle_probe_result
 
     def echo(self, now, event):
         # Nor does it hear a node's own no to a probe: else a few sends at most are left to judge by.
@@ -91,17 +91,17 @@
             event = event._replace(outcome=AttemptOutcome.OK, load={"inflight": 0.0, "queue": 0.0})
         plain(self, now, event)
 
-    asking.Asking.echo = echo
+    asking.ProbedSelection.handle_probe_result = echo
 
 
 def ignores_cold() -> None:
     def ask(self, now, call):
-        for server in sorted(self._book.up, key=lambda s: -s.started):
-            if server not in call.tried and self._promises.send(now, call, server, False):
+        for server in sorted(self._state.up_servers, key=lambda s: -s.started):
+            if server not in call.tried_servers and self._rules.send(now, call, server, False):
                 return
-        self._promises.end(call, 0)
+        self._rules.finish(call, 0)
 
-    asking.Asking.ask = ask  # the youngest gets everything
+    asking.ProbedSelection.probe_servers = ask  # the youngest gets everything
 
 
 def leaks() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -182,6 +182,6 @@
             assert 0 < int(query["wait_ms"][0]) / 1e3 <= may_be_old / 4
             registry.answers.put_nowait(None)
             await failed.wait()
-            assert (module.ring.asked_at - world.sidecar._clock()) / 1e9 <= may_be_old / 4
+            assert (module.server_subset.next_subscribe_at - world.sidecar._clock()) / 1e9 <= may_be_old / 4
 
     play(scene)
--- a/tests/thrift/test_oneway.py
+++ b/tests/thrift/test_oneway.py
@@ -51,7 +51,7 @@
                 {"inflight": 0, "queue": 0},
             )
             assert [call.oneway for call in node.calls] == [True] and node.probes == 1
-            assert not world.core._requests and not world.core._module.book.attempts
+            assert not world.core._requests and not world.core._module.state.attempts
             assert (await counted(world))["oneway"] == {"single_shot": {"written": 1}}
             # The connection it went by serves the next call.
             node.script = lambda talk, asked: talk.serve(b"next")
@@ -78,10 +78,10 @@
             while not node.probes:
                 await asyncio.sleep(0.005)
             module = world.core._module
-            assert module.book.servers["s1"].inflight == 1 and not module.book.calls
+            assert module.state.servers["s1"].in_flight == 1 and not module.state.calls
             go.set()
             await response(told)
-            assert module.book.servers["s1"].inflight == 0
+            assert module.state.servers["s1"].in_flight == 0
 
     play(scene)
 
@@ -211,7 +211,7 @@
                 "-": {"unknown method": 1},
             }
             world.sidecar._counters.tell(10**9)
-            assert not module.book.calls and not world.core._requests
+            assert not module.state.calls and not world.core._requests
 
     play(scene)
     told = "nobody else tells: oneway - unknown method 1, oneway single_shot refused 3"
@@ -286,10 +286,10 @@
             seen = 0
             while seen < 12:
                 seen += isinstance(await told.get(), RequestArrived)
-            server = world.core._module.book.servers["s1"]
-            assert server.inflight <= server.budget + server.trial < 12
+            server = world.core._module.state.servers["s1"]
+            assert server.in_flight <= server.limit + server.trial_in_flight < 12
             go.set()
-            while world.core._requests or world.core._module.book.attempts:
+            while world.core._requests or world.core._module.state.attempts:
                 await asyncio.sleep(0.01)
             ends = world.sidecar._counters._counts
             assert ends["oneway", "free", "written"] == len(node.calls)
--- a/tests/thrift/test_recode.py
+++ b/tests/thrift/test_recode.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from thrift.Thrift import TType
-from values import message, reading, structs
+from values import apache_reader, message, structs
 
 from hollyport.thrift.recode import recode
 from hollyport.thrift.stream import FRAMED_BINARY, FRAMED_COMPACT, Form, Message, whole
@@ -22,7 +22,7 @@
 
 def values_of(name: str, data: bytes):
     """A message as Apache's library reads it: every type and value. Of empty maps compact tells no types."""
-    source = reading(name, data)
+    source = apache_reader(name, data)
 
     def read(kind):
         if kind == TType.STRUCT:
--- a/tests/thrift/test_wire.py
+++ b/tests/thrift/test_wire.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from thrift.Thrift import TMessageType, TType
-from values import PROTOCOLS, message, peer_skips, reading, structs
+from values import PROTOCOLS, apache_message_end, apache_reader, message, structs
 
 from hollyport.thrift.stream import FORMS, Messages, detect, whole, wrap
 from hollyport.thrift.wire import (
@@ -117,7 +117,7 @@
 
 
 def compare(name, data):
-    theirs, ours = peer_skips(name, data), end_of(name, data)
+    theirs, ours = apache_message_end(name, data), end_of(name, data)
     if ours is not None:
         assert theirs == ours
     elif theirs is not None:
@@ -305,6 +305,6 @@
 def test_what_the_library_reads_is_what_was_written():
     """The helper itself: a check that could not fail would prove nothing."""
     data = message("compact", {1: (TType.I32, 5)})
-    assert peer_skips("compact", data) == len(data)
-    assert peer_skips("compact", data[:-1]) is None
-    assert reading("binary", b"").trans is not None
+    assert apache_message_end("compact", data) == len(data)
+    assert apache_message_end("compact", data[:-1]) is None
+    assert apache_reader("binary", b"").trans is not None
