--- a/dunefield/asking.py
+++ b/dunefield/asking.py
@@ -1,114 +1,113 @@
-"""Which servers are asked by a probe, and what their answers lead to."""
+"""Selection of servers by probing them before each call."""
 
 from __future__ import annotations
 
 import math
 
-from dunefield.book import PROBES, UNMUTED, Book
-from dunefield.crowding import Crowding
-from dunefield.hold import Hold
+from dunefield.book import PROBES_PER_ROUND, NOT_EJECTED, SharedState
+from dunefield.crowding import OverloadEstimate
+from dunefield.hold import AdmissionQueue
 from dunefield.interface import AttemptOutcome, ProbeResult, ProbeServer
-from dunefield.pick import Pick
-from dunefield.promises import Promises
-from dunefield.speeds import Speeds
+from dunefield.pick import ServerSelection
+from dunefield.promises import AttemptRules
+from dunefield.speeds import LatencyModel
 from dunefield.state import Call, Server
-from dunefield.trust import UNTOLD, Trust
+from dunefield.trust import UNKNOWN_LOAD, ServerHealth
 
-ROUNDS = 2  # times to ask other servers before a busy one is taken
+PROBE_ROUNDS = 2  # rounds of probes before a busy server is accepted
 
 
-class Asking:
-    """Probes and what they tell."""
+class ProbedSelection:
+    """Sends probes and handles their results."""
 
-    def __init__(self, book: Book, crowding: Crowding, speeds: Speeds, trust: Trust, promises: Promises,
-                 pick: Pick, hold: Hold) -> None:
-        self._book, self._crowding, self._speeds, self._trust = book, crowding, speeds, trust
-        self._promises, self._pick, self._hold = promises, pick, hold
+    def __init__(self, state: SharedState, overload: OverloadEstimate, latencies: LatencyModel,
+                 health: ServerHealth, rules: AttemptRules, selection: ServerSelection,
+                 queue: AdmissionQueue) -> None:
+        self._state, self._overload, self._latencies, self._health = state, overload, latencies, health
+        self._rules, self._selection, self._queue = rules, selection, queue
 
-    def ask(self, now: int, call: Call) -> None:
-        """Exception "probed pick": where probes bring reports cheaply, the candidates are asked first."""
-        trust, pick = self._trust, self._pick
-        call.rounds += 1
-        call.best, call.queue, call.pending = None, math.inf, 0
-        # Muted ones too when no other is left: a cause that all share is no reason to ask nobody.
-        muted = all(self._shunned(now, s, call) for s in self._book.up)
-        for _ in range(2 * PROBES):
-            server = pick.draw(call, 0)
-            if server is None or call.pending == PROBES:
+    def probe_servers(self, now: int, call: Call) -> None:
+        """Exception "probed pick": if probes bring load reports cheaply, candidates are probed first."""
+        health, selection = self._health, self._selection
+        call.probe_rounds += 1
+        call.best_server, call.shortest_queue, call.pending_probes = None, math.inf, 0
+        # If all servers are ejected, the cause is shared: probe them all the same.
+        all_ejected = all(self._is_ejected(now, s, call) for s in self._state.up_servers)
+        for _ in range(2 * PROBES_PER_ROUND):
+            server = selection.draw(call, 0)
+            if server is None or call.pending_probes == PROBES_PER_ROUND:
                 break
-            if call in server.askers or server in call.tried:
+            if call in server.probe_waiters or server in call.tried_servers:
                 continue
-            if (not muted and self._shunned(now, server, call)) or not trust.fits(now, server):
+            if (not all_ejected and self._is_ejected(now, server, call)) or not health.admits(now, server):
                 continue
-            call.pending += 1
-            if not server.askers:  # else the probe that is out will tell this call, too
-                self._book.acts.append(ProbeServer(server.name))
-            server.askers.append(call)
-        self._hold.keep(now, call)  # an echo may come too late, or never
+            call.pending_probes += 1
+            if not server.probe_waiters:  # else this call shares the probe in flight
+                self._state.actions.append(ProbeServer(server.name))
+            server.probe_waiters.append(call)
+        self._queue.enqueue(now, call)  # a probe result may come too late, or never
 
-    def _shunned(self, now: int, server: Server, call: Call) -> bool:
-        """Whether a server's probes failed, or, Exception "unanswered class", it left the call's class
-        unanswered, which no probe tells."""
-        return now < max(server.mute_until, server.mute.get(call.number, UNMUTED)[0])
+    def _is_ejected(self, now: int, server: Server, call: Call) -> bool:
+        """Whether a server is ejected, or, Exception "unanswered class", is so for the class of this call."""
+        return now < max(server.ejected_until, server.ejected_classes.get(call.class_index, NOT_EJECTED)[0])
 
-    def echo(self, now: int, event: ProbeResult) -> None:
-        """A probe is back."""
-        book, trust = self._book, self._trust
-        server = book.servers.get(event.server)
+    def handle_probe_result(self, now: int, event: ProbeResult) -> None:
+        """Handles a probe result, and sends the calls that waited for it."""
+        state, health = self._state, self._health
+        server = state.servers.get(event.server)
         if server is None:
             return
-        askers, server.askers = server.askers, []
-        if book.suspects:
-            if trust.asked(now, server, event):
-                self.pump(now)
+        probe_waiters, server.probe_waiters = server.probe_waiters, []
+        if state.probe_ejected:
+            if health.handle_probe_result(now, server, event):
+                self.dispatch_queued(now)
             return
         if event.outcome == AttemptOutcome.OK:
-            server.heard = now
-            # A server that answers without a report is taken for busy, as its machine may be: never for idle.
-            server.load = event.load.get("inflight", event.load.get("queue", max(server.load, UNTOLD)))
+            server.last_response_at = now
+            # Without a load report the server is assumed to be busy, never idle.
+            server.load = event.load.get("inflight", event.load.get("queue", max(server.load, UNKNOWN_LOAD)))
         elif event.outcome == AttemptOutcome.ERROR or (
             event.outcome in (AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED)
-            and trust.struck(now, server, now - event.latency_ns)):
-            server.mute_until = now + book.horizon  # draining, down, cut off or standing still: ask others
-        # All else tells of the probe, not of the server: its connection was old, its answer unreadable, or
-        # this sidecar had no descriptor for it.
-        for call in askers:
-            if not call.pending or call.request_id not in book.calls:
+            and health.record_failure(now, server, now - event.latency_ns)):
+            server.ejected_until = now + state.horizon_ns  # draining, down, unreachable or stalled
+        # Other outcomes say nothing about the server: stale connection, unreadable response, no descriptor.
+        for call in probe_waiters:
+            if not call.pending_probes or call.request_id not in state.calls:
                 continue
-            call.pending -= 1
+            call.pending_probes -= 1
             if event.outcome == AttemptOutcome.OK:
-                call.queue = min(call.queue, event.load.get("queue", call.queue))
-            if event.outcome == AttemptOutcome.OK and trust.fits(now, server):
-                best = call.best
-                wait = (server.load + 1.0) * self._speeds.speed(now, server)
+                call.shortest_queue = min(call.shortest_queue, event.load.get("queue", call.shortest_queue))
+            if event.outcome == AttemptOutcome.OK and health.admits(now, server):
+                best = call.best_server
+                wait = (server.load + 1.0) * self._latencies.server_slowdown(now, server)
                 if best is None or wait < call.best_wait:
-                    call.best, call.best_wait = server, wait
-            if call.pending <= 1 or (call.best is not None and call.best.load < 1.0):
-                call.pending = 0
-                self._settle(now, call)
+                    call.best_server, call.best_wait = server, wait
+            if call.pending_probes <= 1 or (call.best_server is not None and call.best_server.load < 1.0):
+                call.pending_probes = 0
+                self._choose_server(now, call)
 
-    def _settle(self, now: int, call: Call) -> None:
-        """Send to the least loaded server that echoed, if it can answer in time; else ask on or hold."""
-        server = call.best
-        if server is not None and server.load >= 1.0 and call.rounds % ROUNDS:
-            self.ask(now, call)
+    def _choose_server(self, now: int, call: Call) -> None:
+        """Sends to the best probed server if it can respond in time; else probes again or queues."""
+        server = call.best_server
+        if server is not None and server.load >= 1.0 and call.probe_rounds % PROBE_ROUNDS:
+            self.probe_servers(now, call)
             return
-        if call.queue < math.inf:
-            self._crowding.found(now, call.queue)
+        if call.shortest_queue < math.inf:
+            self._overload.record_queue(now, call.shortest_queue)
         if server is not None:
-            stretch = max(self._speeds.stretch, self._speeds.speed(now, server))
-            expect = (server.load + 1.0) * call.size * stretch
-            # Nothing to lose, and the only way to learn better of a server that slow answers spoke against.
-            # It harms where a server that stands still reports that it holds nothing.
-            free = server.load < 1.0
-            trial = server.slot < 0 and server.trial_due(now)
-            if (free or now + expect <= call.aim_at) and self._promises.send(now, call, server, trial):
+            slowdown = max(self._latencies.slowdown, self._latencies.server_slowdown(now, server))
+            expected = (server.load + 1.0) * call.expected_ns * slowdown
+            # Costs nothing, and is the only way to correct the estimate of a server that was slow before. A
+            # drawback if a stalled server reports that it is idle.
+            idle = server.load < 1.0
+            trial = server.available_index < 0 and server.trial_allowed(now)
+            if (idle or now + expected <= call.target_at) and self._rules.send(now, call, server, trial):
                 return
-        self._hold.keep(now, call)
+        self._queue.enqueue(now, call)
 
-    def pump(self, now: int, ticked: bool = False) -> None:
-        """Let held calls go in arrival order, or ask for them again; end those whose time has run out."""
-        if self._book.held or ticked:
-            for call in self._hold.pump(now, ticked):
-                self.ask(now, call)
-            self._hold.arm()
+    def dispatch_queued(self, now: int, timer_fired: bool = False) -> None:
+        """Dispatches queued calls in arrival order, or probes for them again; ends expired ones."""
+        if self._state.queued_calls or timer_fired:
+            for call in self._queue.dispatch_queued(now, timer_fired):
+                self.probe_servers(now, call)
+            self._queue.start_timer()
--- a/dunefield/book.py
+++ b/dunefield/book.py
@@ -1,4 +1,4 @@
-"""What the decisions of one sidecar share: settings, chance, actions, tables of servers, calls, attempts."""
+"""State shared by the parts of one balancer: settings, random source, actions, servers, calls, attempts."""
 
 from __future__ import annotations
 
@@ -7,53 +7,53 @@
 from dunefield.interface import IDLE_TIMEOUT_FRACTION, Action, RequestClass, Settings
 from dunefield.state import Attempt, Call, Server
 
-UNMUTED = (0, 0)  # what stands for a class that was not left unanswered
-PROBES = 4  # servers asked at a time: two pairs to choose from
-PROBE_SPEND = 0.01  # share of the worth that asking before each send may cost
+NOT_EJECTED = (0, 0)  # default for a class in Server.ejected_classes
+PROBES_PER_ROUND = 4  # two pairs to choose from
+MAX_PROBE_COST = 0.01  # part of a call's value that probing before it may cost
 
 
-class Book:
-    """The tables, open to the parts that decide; each keeps to itself what no other needs."""
+class SharedState:
+    """Tables that several parts use; what only one part needs is kept there."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed).random
-        self.acts: list[Action] = []  # what the event at hand leads to, in order
+        self.actions: list[Action] = []  # actions of the current event, in order
         self.servers: dict[str, Server] = {}
-        self.up: list[Server] = []
-        self.room: list[Server] = []  # servers under budget; swap-removal keeps the order free of hashing
-        self.live = 0  # servers up with k above 0
-        self.shut_until = 0  # before this none can be tried
+        self.up_servers: list[Server] = []
+        self.available: list[Server] = []  # servers below their limit; swap removal keeps it deterministic
+        self.active_count = 0  # servers that are up and have steps
+        self.unavailable_until = 0  # no server can get a trial before
         self.calls: dict[str, Call] = {}
-        self.growing: set[str] = set()  # those whose bodies still come
-        self.held: dict[str, Call] = {}  # in arrival order: full everywhere, or echoes due
+        self.incomplete: set[str] = set()  # request ids
+        self.queued_calls: dict[str, Call] = {}  # in arrival order: all servers full, or probes in flight
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.horizon = max(c.deadline_ns for c in settings.classes)
-        self.classes = (*settings.classes, RequestClass("", self.horizon, self.horizon))
-        self.pace = max(1, min(c.target_ns for c in self.classes) // 16)  # how often held calls are looked at
-        self.kept = int(IDLE_TIMEOUT_FRACTION * settings.limits.connection_idle_ns)  # then it is retired
-        dear = PROBES * settings.prices.get("probe", 0.0) > PROBE_SPEND
-        self.probing = settings.reports != "none" and settings.limits.may_probe and not dear
-        # Goes by its own calls, and may ask only now and then: a server that failed, before it is used again.
-        self.suspects = settings.limits.may_probe and not self.probing
-        # Draws go over all servers where probes tell of each of them, else over a few that are known well.
-        self.narrow = not self.probing or settings.prices.get("connection", 0.0) > 0
+        self.horizon_ns = max(c.deadline_ns for c in settings.classes)  # time scale of averages and pauses
+        self.classes = (*settings.classes, RequestClass("", self.horizon_ns, self.horizon_ns))
+        self.tick_ns = max(1, min(c.target_ns for c in self.classes) // 16)  # interval of the queue timer
+        self.idle_limit_ns = int(IDLE_TIMEOUT_FRACTION * settings.limits.connection_idle_ns)
+        expensive = PROBES_PER_ROUND * settings.prices.get("probe", 0.0) > MAX_PROBE_COST
+        self.probe_calls = settings.reports != "none" and settings.limits.may_probe and not expensive
+        # If calls are not probed but probes are allowed, an ejected server is probed before it is used again.
+        self.probe_ejected = settings.limits.may_probe and not self.probe_calls
+        # Without probes only a few servers are used, so that each is known well.
+        self.use_subset = not self.probe_calls or settings.prices.get("connection", 0.0) > 0
 
     def drop(self, request_id: str) -> None:
-        """No answer is owed any more."""
+        """Forgets a call that needs no response any more."""
         self.calls.pop(request_id, None)
-        self.held.pop(request_id, None)
-        self.growing.discard(request_id)
-
-    def refresh(self, server: Server) -> None:
-        """Keep the list of servers under budget true after any change to a server."""
-        fits = server.up and server.inflight < server.budget
-        if fits and server.slot < 0:
-            server.slot = len(self.room)
-            self.room.append(server)
-        elif not fits and server.slot >= 0:
-            last = self.room.pop()
+        self.queued_calls.pop(request_id, None)
+        self.incomplete.discard(request_id)
+
+    def update_available(self, server: Server) -> None:
+        """Adds a server to `available` or removes it; called after any change to the server."""
+        has_room = server.up and server.in_flight < server.limit
+        if has_room and server.available_index < 0:
+            server.available_index = len(self.available)
+            self.available.append(server)
+        elif not has_room and server.available_index >= 0:
+            last = self.available.pop()
             if last is not server:
-                self.room[server.slot] = last
-                last.slot = server.slot
-            server.slot = -1
+                self.available[server.available_index] = last
+                last.available_index = server.available_index
+            server.available_index = -1
--- a/dunefield/budget.py
+++ b/dunefield/budget.py
@@ -1,88 +1,85 @@
-"""The ordered budget of one server: k steps, single trials, one backoff that blocks only growth. No I/O.
+"""Ordered in-flight budget of one server: concurrency steps, single trials, one backoff. No I/O.
 
 Source: A105 (max_connections_per_subchannel, 10 by default), scaled to servers that serve one request at a
-time on a connection. Shared by the daemon's decisions and the mesh. Times are whole nanoseconds.
-"""
+time on a connection. Shared by the balancer and the mesh. Times are integer nanoseconds."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-STEPS = 10  # the clamp on k: A105's default for max_connections_per_subchannel
-GAIN = 0.3  # weight of one new observation against what was known
-SHRINK = 0.7  # what is left of the figure after a refusal as full
+MAX_STEPS = 10  # A105's default for max_connections_per_subchannel
+BASE_SMOOTHING = 0.3  # smoothing factor of moving averages; slower ones use a fraction of it
+SHRINK_FACTOR = 0.7  # applied to the concurrency when the server refuses a call as full
 
 Random = Callable[[], float]
 
 
 class Budget:
-    """How many calls may be at one server together: `k` steps of a learned concurrency `figure` each.
+    """Limit of calls in flight at one server: `steps` times a learned `concurrency`.
 
-    `k` runs from 1 up to `most`; the figure is lowered by refusals as full, up to `ceiling` calls a step. A
-    call beyond that goes as the one trial, while no trial is out and no backoff runs; at k = 0 nothing else
-    goes. `backoff` and `retry_at` are shared by all trials there, and block only growth.
-    """
+    `steps` runs from 1 up to `max_steps`; refusals as full lower `concurrency` below `max_concurrency`. One
+    call above the limit may go as a trial while no other trial is in flight and no backoff runs; at 0 steps
+    only trials go. `backoff` and `retry_at` are shared by all trials and block only growth."""
 
-    __slots__ = ("k", "figure", "trial", "backoff", "retry_at", "ceiling", "most")
+    __slots__ = (
+        "steps", "concurrency", "trial_in_flight", "backoff", "retry_at", "max_concurrency", "max_steps")
 
-    def __init__(self, ceiling: float, most: int = STEPS, begin: int = 1) -> None:
-        self.ceiling, self.most = ceiling, max(1, most)
-        self.renew(begin)
+    def __init__(self, max_concurrency: float, max_steps: int = MAX_STEPS, initial_steps: int = 1) -> None:
+        self.max_concurrency, self.max_steps = max_concurrency, max(1, max_steps)
+        self.reset_budget(initial_steps)
 
-    def renew(self, begin: int = 1) -> None:
-        """A new process: nothing learned of the old one holds."""
-        self.k, self.figure = max(1, min(begin, self.most)), self.ceiling
-        self.trial = False
+    def reset_budget(self, initial_steps: int = 1) -> None:
+        """Discards everything learned, because the server process has been replaced."""
+        self.steps, self.concurrency = max(1, min(initial_steps, self.max_steps)), self.max_concurrency
+        self.trial_in_flight = False
         self.backoff = self.retry_at = 0
 
     @property
-    def budget(self) -> int:
-        """Calls that may be out together."""
-        return max(1, int(self.k * self.figure)) if self.k else 0
+    def limit(self) -> int:
+        """Maximum number of calls in flight, without a trial."""
+        return max(1, int(self.steps * self.concurrency)) if self.steps else 0
 
-    def trial_due(self, now: int) -> bool:
-        """Whether a trial may go: none is out, and no backoff runs."""
-        return not self.trial and now >= self.retry_at
+    def trial_allowed(self, now: int) -> bool:
+        """Returns whether a trial may be sent: none is in flight and no backoff is running."""
+        return not self.trial_in_flight and now >= self.retry_at
 
-    def verdict(self, now: int, out: int) -> tuple[bool, bool]:
-        """Whether a waiting call may go while `out` are out, and whether it goes as the trial."""
-        if out < self.budget:
+    def check_admission(self, now: int, in_flight: int) -> tuple[bool, bool]:
+        """Returns whether a call may be sent with `in_flight` others in flight, and whether as a trial."""
+        if in_flight < self.limit:
             return True, False
-        grows = self.k < self.most and self.trial_due(now)
+        grows = self.steps < self.max_steps and self.trial_allowed(now)
         return grows, grows
 
-    # --- outcomes
-
-    def grow(self) -> None:
-        """A trial was served."""
-        self.k = min(self.k + 1, self.most)
+    def add_step(self) -> None:
+        """Handles a successful trial."""
+        self.steps = min(self.steps + 1, self.max_steps)
         self.backoff = self.retry_at = 0
 
-    def hold_off(self, now: int, first: int, last: int, random: Random) -> None:
-        """A trial was refused, failed, reset or timed out: no other for twice as long as the last time."""
-        self.backoff = min(max(2 * self.backoff, first), last)
-        self._pause(now, random)
+    def back_off(self, now: int, initial: int, maximum: int, random: Random) -> None:
+        """Handles a failed trial (refused, error, reset or timeout): doubles the backoff."""
+        self.backoff = min(max(2 * self.backoff, initial), maximum)
+        self._set_retry_time(now, random)
 
-    def shut(self, now: int, least: int, random: Random) -> None:
-        """k has come to 0: the first trial waits as well."""
-        self.backoff = max(self.backoff, least)
-        self._pause(now, random)
+    def start_backoff(self, now: int, minimum: int, random: Random) -> None:
+        """Starts a backoff after the steps have fallen to 0, so that the first trial waits as well."""
+        self.backoff = max(self.backoff, minimum)
+        self._set_retry_time(now, random)
 
-    def _pause(self, now: int, random: Random) -> None:
+    def _set_retry_time(self, now: int, random: Random) -> None:
         self.retry_at = now + int(self.backoff * (0.75 + 0.5 * random()))
 
-    def halve(self) -> None:
-        """Connections could not be made, or were reset, again and again."""
-        self.k //= 2
+    def halve_steps(self) -> None:
+        """Handles repeated connection failures or resets."""
+        self.steps //= 2
 
-    def lower(self) -> None:
-        """A connection could not be made, or was reset."""
-        self.k = max(0, self.k - 1)
+    def remove_step(self) -> None:
+        """Handles one failed or reset connection."""
+        self.steps = max(0, self.steps - 1)
 
-    def refused(self) -> None:
-        """The server turned a call away as full."""
-        self.figure = max(1.0 / self.most, self.figure * SHRINK)
+    def lower_concurrency(self) -> None:
+        """Handles a call that the server refused as full."""
+        self.concurrency = max(1.0 / self.max_steps, self.concurrency * SHRINK_FACTOR)
 
-    def accepted(self) -> None:
-        """The server took a call."""
-        self.figure = min(self.ceiling, self.figure + GAIN / 8)
+    def raise_concurrency(self) -> None:
+        """Handles a call that the server accepted."""
+        self.concurrency = min(self.max_concurrency, self.concurrency + BASE_SMOOTHING / 8)
--- a/dunefield/demand.py
+++ b/dunefield/demand.py
@@ -1,35 +1,35 @@
-"""How many requests come and how many are answered, smoothed over some while."""
+"""Smoothed rates of requests and responses."""
 
 from __future__ import annotations
 
 
-def pulse(rate: float, gap: int, span: int) -> float:
-    """A rate of events, smoothed over about `span`, after one more event `gap` after the last."""
+def smooth(rate: float, gap: int, span: int) -> float:
+    """Returns an event rate, smoothed over about `span`, after an event that came `gap` after the last."""
     return rate + (1.0 - rate * gap) / span if gap < span else 1.0 / gap
 
 
-class Demand:
-    """Rates of one sidecar's own requests and answers, for each nanosecond."""
+class RequestRates:
+    """Rates of one sidecar's requests and responses, per nanosecond."""
 
-    def __init__(self, horizon: int, pace: int, now: int) -> None:
-        self._horizon, self._pace = horizon, pace
-        self._begun_at = self._heard_at = self._served_at = now
-        self.rate = 0.0  # requests of late, over about one horizon
-        self.flow = 0.0  # the same over some seconds: what the reach goes by
-        self.served = 0.0  # answers of late, over about one horizon
+    def __init__(self, horizon_ns: int, tick_ns: int, now: int) -> None:
+        self._horizon_ns, self._tick_ns = horizon_ns, tick_ns
+        self._started_at = self._request_at = self._response_at = now
+        self.request_rate = 0.0  # over about the longest deadline
+        self.mean_rate = 0.0  # requests, over about 8 longest deadlines
+        self.response_rate = 0.0  # over about the longest deadline
 
-    def asked(self, now: int) -> None:
-        """A request has come."""
-        age, gap = now - self._begun_at + self._pace, now - self._heard_at
-        self.rate = pulse(self.rate, gap, min(self._horizon, age))
-        self.flow = pulse(self.flow, gap, min(8 * self._horizon, age))
-        self._heard_at = now
+    def record_request(self, now: int) -> None:
+        """Records a request."""
+        age, gap = now - self._started_at + self._tick_ns, now - self._request_at
+        self.request_rate = smooth(self.request_rate, gap, min(self._horizon_ns, age))
+        self.mean_rate = smooth(self.mean_rate, gap, min(8 * self._horizon_ns, age))
+        self._request_at = now
 
-    def answered(self, now: int) -> None:
-        """A server has answered."""
-        span = min(self._horizon, now - self._begun_at + self._pace)
-        self.served, self._served_at = pulse(self.served, now - self._served_at, span), now
+    def record_response(self, now: int) -> None:
+        """Records a response."""
+        span = min(self._horizon_ns, now - self._started_at + self._tick_ns)
+        self.response_rate, self._response_at = smooth(self.response_rate, now - self._response_at, span), now
 
-    def serving(self, now: int) -> float:
-        """The rate of answers, lower the longer none has come."""
-        return min(self.served, 1.0 / max(1, now - self._served_at))
+    def current_rate(self, now: int) -> float:
+        """Returns the response rate, lower the longer no response has come."""
+        return min(self.response_rate, 1.0 / max(1, now - self._response_at))
--- a/dunefield/hold.py
+++ b/dunefield/hold.py
@@ -1,103 +1,104 @@
-"""Which calls go now, which wait in order, and which are shed."""
+"""Admission queue: dispatches calls, queues them in arrival order, and sheds load."""
 
 from __future__ import annotations
 
-from dunefield.book import Book
-from dunefield.crowding import Crowding
-from dunefield.demand import Demand
+from dunefield.book import SharedState
+from dunefield.crowding import OverloadEstimate
+from dunefield.demand import RequestRates
 from dunefield.interface import StartTimer
-from dunefield.pick import Pick
-from dunefield.promises import Promises
-from dunefield.speeds import Speeds
+from dunefield.pick import ServerSelection
+from dunefield.promises import AttemptRules
+from dunefield.speeds import LatencyModel
 from dunefield.state import Call
 
-TICK = 1  # tag of the timer for held calls; 0 is the one for the server list
-HOPEFUL = 0.8  # part of the time left that a call may be expected to use, less the crowding, as times scatter
-DEAR = 1.2  # the same for calls worth more than the mean: refusing them loses the most
+QUEUE_TIMER_TAG = 1  # tag of the timer for queued calls; 0 is the server list's
+MAX_TIME_SHARE = 0.8  # of the time left, less the overload level: response times vary
+MAX_TIME_SHARE_HIGH = 1.2  # for calls above the mean value, whose refusal costs the most
 
 
-class Hold:
-    """Calls that go, wait or are shed."""
+class AdmissionQueue:
+    """Queues calls while all servers are full, and sheds calls under overload."""
 
-    def __init__(self, book: Book, demand: Demand, crowding: Crowding, speeds: Speeds, promises: Promises,
-                 pick: Pick) -> None:
-        self._book, self._demand, self._crowding, self._speeds = book, demand, crowding, speeds
-        self._promises, self._pick = promises, pick
-        self._pace, self._probing, self._random = book.pace, book.probing, book.random
-        self._tail = 2 * book.settings.period_ns  # before a client's time is up: the last moment to answer
-        self._mean_worth = sum(c.value for c in book.settings.classes) / len(book.settings.classes)
-        self._armed = False  # a tick for the held calls is due
+    def __init__(self, state: SharedState, rates: RequestRates, overload: OverloadEstimate,
+                 latencies: LatencyModel, rules: AttemptRules, selection: ServerSelection) -> None:
+        self._state, self._rates, self._overload, self._latencies = state, rates, overload, latencies
+        self._rules, self._selection = rules, selection
+        self._tick_ns, self._probe_calls, self._random = state.tick_ns, state.probe_calls, state.random
+        self._response_margin_ns = 2 * state.settings.period_ns  # before the client's timeout
+        self._mean_value = sum(c.value for c in state.settings.classes) / len(state.settings.classes)
+        self._timer_started = False  # whether a TimerFired for queued calls is due
 
-    def shed(self, now: int, number: int, size: float) -> bool:
-        """Exception "shedding": the fleet answers slower than when uncrowded, so part of the calls must not
-        reach it, those of least worth first. Each sidecar draws for itself, so the fleet sheds smoothly."""
-        book = self._book
-        flow = (self._demand.served + self._demand.rate) / 2 * size
-        # Bodies that still come are no work: a few slow ones would pass for a jam.
-        growing = sum(1 for request_id in book.growing if book.calls[request_id].out) if book.growing else 0
-        return self._crowding.sheds(now, number, len(book.attempts) - growing, flow, self._random())
+    def should_shed(self, now: int, class_index: int, expected_ns: float) -> bool:
+        """Exception "shedding": returns whether to shed a call, as the fleet is slower than without overload.
+        Calls of the least value go first; each sidecar draws for itself, so the total changes smoothly."""
+        state = self._state
+        expected = (self._rates.response_rate + self._rates.request_rate) / 2 * expected_ns
+        # Incomplete bodies are no work yet: a few slow uploads would look like overload.
+        uploading = sum(1 for i in state.incomplete if state.calls[i].in_flight) if state.incomplete else 0
+        return self._overload.should_shed(
+            now, class_index, len(state.attempts) - uploading, expected, self._random())
 
-    def give_up(self, call: Call) -> int:
-        """When holding a call further earns nothing; always before its client's time is up."""
-        last = call.deadline - self._tail
-        if call.cls.late_value > 0:
-            return last
-        return min(last, call.aim_at - int(call.size * self._speeds.stretch / 2))
+    def give_up_time(self, call: Call) -> int:
+        """Returns when queueing a call further has no value; always before its client's timeout."""
+        latest = call.deadline - self._response_margin_ns
+        if call.request_class.late_value > 0:
+            return latest
+        return min(latest, call.target_at - int(call.expected_ns * self._latencies.slowdown / 2))
 
-    def _hopeless(self, now: int, call: Call, expect: float) -> bool:
-        """Exception "shedding": the best server found would answer after the aim, which earns little.
-        Random, so that a thousand sidecars with the same old news don't all stop and start together."""
-        ratio = expect / max(1, call.aim_at - now)
-        level, hopeful = self._crowding.level, HOPEFUL
-        if not self._probing:
-            part = call.cls.value / self._mean_worth
-            # Slow answers tell of a loss of servers at once, late ones of the load over some seconds.
-            level = max(level, self._crowding.harm(part))
-            level, hopeful = (0.0, DEAR) if part > 1.0 else (level, HOPEFUL)
-        doubt = min(0.9, (ratio - hopeful + level) * 1.5)
-        return self._random() < doubt * (1.0 - call.cls.late_value)
+    def _likely_late(self, now: int, call: Call, expected: float) -> bool:
+        """Exception "shedding": returns whether to refuse a call, as the best server would probably respond
+        after the target. Random, so that many sidecars with the same outdated data do not all act at once."""
+        ratio = expected / max(1, call.target_at - now)
+        level, max_fraction = self._overload.level, MAX_TIME_SHARE
+        if not self._probe_calls:
+            relative = call.request_class.value / self._mean_value
+            # Slow responses show a loss of servers at once, late ones the load over some seconds.
+            level = max(level, self._overload.marginal_cost(relative))
+            level, max_fraction = (0.0, MAX_TIME_SHARE_HIGH) if relative > 1.0 else (level, MAX_TIME_SHARE)
+        probability = min(0.9, (ratio - max_fraction + level) * 1.5)
+        return self._random() < probability * (1.0 - call.request_class.late_value)
 
-    def go(self, now: int, call: Call) -> bool:
-        """Send the call or end it; False if it has to wait."""
-        book = self._book
-        scan = book.up and not book.live and now >= book.shut_until
-        if scan and not any(s.trial_due(now) for s in book.up):
-            book.shut_until = max(now + self._pace, min(s.retry_at for s in book.up))
-        if now < book.shut_until and not book.live:
-            # Every server is at k = 0 in trial or backoff: nothing can take it soon.
-            self._promises.end(call, book.shut_until - now)
+    def dispatch(self, now: int, call: Call) -> bool:
+        """Sends or ends a call. Returns False if it must wait."""
+        state = self._state
+        none_active = state.up_servers and not state.active_count and now >= state.unavailable_until
+        if none_active and not any(s.trial_allowed(now) for s in state.up_servers):
+            state.unavailable_until = max(now + self._tick_ns, min(s.retry_at for s in state.up_servers))
+        if now < state.unavailable_until and not state.active_count:
+            # Every server is at 0 steps with a trial in flight or in backoff.
+            self._rules.finish(call, state.unavailable_until - now)
             return True
-        server, trial, expect = self._pick.pick(now, call)
+        server, trial, expected = self._selection.select(now, call)
         if server is None:
             return False
-        hopeless = not trial and self._hopeless(now, call, expect)
-        if hopeless or not self._promises.send(now, call, server, trial):
-            self._promises.end(call, call.cls.target_ns // 8)
+        likely_late = not trial and self._likely_late(now, call, expected)
+        if likely_late or not self._rules.send(now, call, server, trial):
+            self._rules.finish(call, call.request_class.target_ns // 8)
         return True
 
-    def keep(self, now: int, call: Call) -> None:
-        """Let a call wait, behind those that do; one that has no time left to wait is ended."""
-        if now + self._pace >= call.give_up:
-            self._promises.end(call, call.cls.target_ns // 8)
+    def enqueue(self, now: int, call: Call) -> None:
+        """Appends a call to the queue, or ends it if it has no time left to wait."""
+        if now + self._tick_ns >= call.give_up_at:
+            self._rules.finish(call, call.request_class.target_ns // 8)
             return
-        self._book.held[call.request_id] = call
-        self.arm()
+        self._state.queued_calls[call.request_id] = call
+        self.start_timer()
 
-    def arm(self) -> None:
-        """While calls wait, a tick is due."""
-        if self._book.held and not self._armed:
-            self._armed = True
-            self._book.acts.append(StartTimer(self._pace, TICK))
+    def start_timer(self) -> None:
+        """Starts the timer if calls are queued and it is not running."""
+        if self._state.queued_calls and not self._timer_started:
+            self._timer_started = True
+            self._state.actions.append(StartTimer(self._tick_ns, QUEUE_TIMER_TAG))
 
-    def pump(self, now: int, ticked: bool) -> list[Call]:
-        """Let held calls go in order, end those out of time; return those to ask for again, then `arm`."""
-        held = self._book.held
-        if ticked:
-            self._armed = False
-            for call in [c for c in held.values() if now + self._pace >= c.give_up]:
-                self._promises.end(call, call.cls.target_ns // 8)
-        if self._probing:
-            return [c for c in held.values() if ticked and not c.pending]
-        while held and self.go(now, next(iter(held.values()))):
+    def dispatch_queued(self, now: int, timer_fired: bool) -> list[Call]:
+        """Dispatches queued calls in order and ends expired ones; returns the calls to probe for."""
+        queued_calls = self._state.queued_calls
+        if timer_fired:
+            self._timer_started = False
+            for call in [c for c in queued_calls.values() if now + self._tick_ns >= c.give_up_at]:
+                self._rules.finish(call, call.request_class.target_ns // 8)
+        if self._probe_calls:
+            return [c for c in queued_calls.values() if timer_fired and not c.pending_probes]
+        while queued_calls and self.dispatch(now, next(iter(queued_calls.values()))):
             pass
         return []
--- a/dunefield/idle.py
+++ b/dunefield/idle.py
@@ -1,47 +1,45 @@
-"""Which idle connections are used again, and which are closed first."""
+"""Limit of how long idle connections are reused."""
 
 from __future__ import annotations
 
-from dunefield.book import Book
+from dunefield.book import SharedState
 from dunefield.interface import CloseIdleConnections
 from dunefield.state import Server
 
 
-class Idle:
-    """For how long connections may have been idle."""
-
-    def __init__(self, book: Book) -> None:
-        self._book, self._kept, self._horizon = book, book.kept, book.horizon
-        self._most = book.kept  # longest idle time after which a connection is used
-        self._doubt = 0  # until when a shorter one than the settings' is believed
-        self._proof = (0, 0)  # the longest after which one was answered lately; until when that counts
-
-    def answered(self, now: int, idle: int) -> None:
-        """A connection that had been idle for so long has brought an answer."""
-        if now >= self._proof[1] or idle > self._proof[0]:
-            self._proof = idle, now + 8 * self._horizon
-
-    def stale(self, now: int, idle: int, lag: int) -> bool:
-        """Exception "stale connection": a reset that comes sooner after the send than the connection had been
-        idle before says that something dropped the idle connection; of the server it says nothing. Idle
-        connections are then closed before use from half that idle time on. Covers crashes seen late, too;
-        it harms where every connection must be new and handshakes are dear. One that had been idle for less
-        than others that were answered lately was not dropped for that: something resets requests, and new
-        connections would be reset as well."""
-        proven = self._proof[0] if now < self._proof[1] else 0
-        if idle <= max(lag, proven):
+class IdleConnections:
+    """Learns from resets and responses how long a connection may be idle."""
+
+    def __init__(self, state: SharedState) -> None:
+        self._state, self._idle_limit_ns, self._horizon_ns = state, state.idle_limit_ns, state.horizon_ns
+        self._current_limit_ns = state.idle_limit_ns  # connections idle for longer are not used
+        self._lowered_until = 0  # until when a limit below the settings' holds
+        self._proven_idle = (0, 0)  # longest idle time before a recent response; until when it counts
+
+    def record_success(self, now: int, idle_ns: int) -> None:
+        """Records a response on a connection that had been idle for `idle_ns`."""
+        if now >= self._proven_idle[1] or idle_ns > self._proven_idle[0]:
+            self._proven_idle = idle_ns, now + 8 * self._horizon_ns
+
+    def on_reset(self, now: int, idle_ns: int, latency_ns: int) -> bool:
+        """Exception "stale connection": returns whether a reset is due to a stale connection, not the server:
+        it came sooner after the send than the connection had been idle. Connections are then closed before
+        use from half that idle time on. Also covers crashes seen late; a drawback if handshakes are
+        expensive. If longer idle ones got responses lately, new connections would be reset too."""
+        proven_ns = self._proven_idle[0] if now < self._proven_idle[1] else 0
+        if idle_ns <= max(latency_ns, proven_ns):
             return False
-        self._most = min(self._most, max(proven, idle // 2))
-        self._doubt = now + 8 * self._horizon
+        self._current_limit_ns = min(self._current_limit_ns, max(proven_ns, idle_ns // 2))
+        self._lowered_until = now + 8 * self._horizon_ns
         return True
 
-    def touch(self, now: int, server: Server) -> None:
-        """Note the use of a connection; one that has been idle for too long is closed first."""
-        if now >= self._doubt:
-            self._most = self._kept
-        server.idle = 0 if server.inflight or not server.used else now - server.used
-        if server.idle > self._most:
-            if self._most < self._kept:
-                self._book.acts.append(CloseIdleConnections(server.name))
-            server.idle = server.peak = 0  # the call gets a new one, and its end tells nothing of idling
-        server.used = now
+    def record_use(self, now: int, server: Server) -> None:
+        """Records that a connection is used; one that has been idle for too long is closed first."""
+        if now >= self._lowered_until:
+            self._current_limit_ns = self._idle_limit_ns
+        server.idle_ns = 0 if server.in_flight or not server.last_used_at else now - server.last_used_at
+        if server.idle_ns > self._current_limit_ns:
+            if self._current_limit_ns < self._idle_limit_ns:
+                self._state.actions.append(CloseIdleConnections(server.name))
+            server.idle_ns = server.open_connections = 0  # a new connection: proves nothing about idling
+        server.last_used_at = now
--- a/dunefield/patience.py
+++ b/dunefield/patience.py
@@ -1,29 +1,28 @@
-"""What clients' time limits tell: how long a request has been under way before this try of it."""
+"""Client timeouts: how much of a deadline was spent on earlier tries."""
 
 from __future__ import annotations
 
 from collections import deque
 
-KEPT = 32  # limits of late that the usual one is read from
-SURE = 16  # fewer tell of no usual one
-SHORTER = 0.9  # part of the usual limit under which one is cut short
+SAMPLES = 32  # recent timeouts that the median is taken of
+MIN_SAMPLES = 16  # with fewer samples nothing is inferred
+CUT_SHORT = 0.9  # of the median timeout; a shorter one is all the time that is left
 
 
-class Patience:
-    """Clients give each try the same part of the time they have in all, and the last one what is left of it.
+class ClientTimeouts:
+    """Infers the time spent on earlier tries from the timeout of a try.
 
-    A limit well under the usual one is thus all that is left, and the rest of the deadline is spent. Longer
-    ones tell of the last try or of a client that tries but once, usual ones of nothing. It errs where
-    single clients are less patient than the rest from their first try on: theirs are taken for late ones.
-    """
+    Clients give each try the same part of the deadline, and the last one what is left, so a timeout well
+    below the usual means that the rest of the deadline has been spent. Longer or usual ones say nothing.
+    Wrong for single clients with shorter timeouts than the others."""
 
     def __init__(self) -> None:
-        self._parts: deque[float] = deque(maxlen=KEPT)
+        self._parts: deque[float] = deque(maxlen=SAMPLES)
 
     def spent(self, timeout_ns: int, deadline_ns: int) -> int:
-        """Take note of a try's limit; return the nanoseconds that its request has been under way for sure."""
+        """Records the timeout of a try; returns the nanoseconds surely spent before it."""
         part = timeout_ns / deadline_ns
         self._parts.append(part)
-        if len(self._parts) < SURE or part >= SHORTER * sorted(self._parts)[len(self._parts) // 2]:
+        if len(self._parts) < MIN_SAMPLES or part >= CUT_SHORT * sorted(self._parts)[len(self._parts) // 2]:
             return 0
         return max(0, deadline_ns - timeout_ns)
--- a/dunefield/pick.py
+++ b/dunefield/pick.py
@@ -1,119 +1,124 @@
-"""Which server a call goes to."""
+"""Selection of the server for a call."""
 
 from __future__ import annotations
 
-from dunefield.book import UNMUTED, Book
+from dunefield.book import NOT_EJECTED, SharedState
 from dunefield.interface import ProbeServer
-from dunefield.promises import Promises
-from dunefield.ring import Ring
-from dunefield.speeds import Speeds
+from dunefield.promises import AttemptRules
+from dunefield.ring import ServerSubset
+from dunefield.speeds import LatencyModel
 from dunefield.state import Call, Server
-from dunefield.trust import Trust
-from dunefield.budget import STEPS
+from dunefield.trust import ServerHealth
+from dunefield.budget import MAX_STEPS
 
-DRAWS = 12  # draws before a pick falls back on the set of servers under budget
-AWAY = 2  # so many times more of the time to answer speaks against a server away from home, at most
+MAX_DRAWS = 12  # random draws before falling back on a trial that grows a full budget
+MAX_DISTANCE_PENALTY = 2  # largest increase of the expected time, as a multiple of it, outside the home range
 
 
-class Pick:
-    """Choosing a server."""
+class ServerSelection:
+    """Selects servers by own calls in flight and expected response time."""
 
-    def __init__(self, book: Book, ring: Ring, speeds: Speeds, trust: Trust, promises: Promises) -> None:
-        self._book, self._ring, self._speeds = book, ring, speeds
-        self._trust, self._promises, self._random = trust, promises, book.random
-        self._zone, self._replicas, prices = book.settings.zone, book.settings.replicas, book.settings.prices
-        self._cross, self._handshake = prices.get("crossZone", 0.0), prices.get("handshake", 0.0)
-        self._own, self._kept, self._suspects = book.narrow and not book.probing, book.kept, book.suspects
+    def __init__(self, state: SharedState, subset: ServerSubset, latencies: LatencyModel,
+                 health: ServerHealth, rules: AttemptRules) -> None:
+        self._state, self._subset, self._latencies = state, subset, latencies
+        self._health, self._rules, self._random = health, rules, state.random
+        self._zone, self._replicas, prices = (
+            state.settings.zone, state.settings.replicas, state.settings.prices)
+        self._cross_zone, self._handshake = prices.get("crossZone", 0.0), prices.get("handshake", 0.0)
+        self._compare_subset, self._idle_limit_ns, self._probe_ejected = (
+            state.use_subset and not state.probe_calls, state.idle_limit_ns, state.probe_ejected)
 
-    def _expect(self, server: Server, call: Call, now: int) -> float:
-        """Expected time to answer, with prices put into time."""
-        expect = call.size * self._speeds.speed(now, server)
+    def _expected_time(self, server: Server, call: Call, now: int) -> float:
+        """Returns the expected response time, with prices converted into time."""
+        expected = call.expected_ns * self._latencies.server_slowdown(now, server)
         if server.zone != self._zone:
-            expect += self._cross * call.cls.target_ns
-        if server.inflight >= server.peak or now - server.used > self._kept:
-            expect += self._handshake * call.cls.target_ns
-        return expect
+            expected += self._cross_zone * call.request_class.target_ns
+        if server.in_flight >= server.open_connections or now - server.last_used_at > self._idle_limit_ns:
+            expected += self._handshake * call.request_class.target_ns
+        return expected
 
     def draw(self, call: Call, turn: int) -> Server | None:
-        """One server from the source of draws: the group a repeat is bound to, or all that may be drawn."""
-        ring = self._ring
-        if call.ran_on is not None and call.cls.retry_safety == "guarded" and call.cls.retry_scope != "all":
+        """Draws a random server from the group that a retry is bound to, else from this sidecar's subset."""
+        subset = self._subset
+        if (call.ran_on is not None and call.request_class.retry_safety == "guarded"
+                and call.request_class.retry_scope != "all"):
             bound = call.ran_on
-            members = ring.groups.get(bound.cell if call.cls.retry_scope == "cell" else -1 - bound.zone)
+            members = subset.groups.get(
+                bound.cell if call.request_class.retry_scope == "cell" else -1 - bound.zone)
             return members[int(self._random() * len(members))] if members else None
-        size = ring.within(call, turn // 4)
-        return ring.subset[int(self._random() * size)] if size else None
+        size = subset.size_for(call, turn // 4)
+        return subset.preference_order[int(self._random() * size)] if size else None
 
-    def pick(self, now: int, call: Call) -> tuple[Server | None, bool, float]:
-        """The less loaded of two random servers; (server, is a trial, expected time)."""
-        if self._own and (call.ran_on is None or call.cls.retry_safety != "guarded"):
-            found = self.pick_own(now, call)
+    def select(self, now: int, call: Call) -> tuple[Server | None, bool, float]:
+        """Returns the less loaded of two random servers, whether it gets a trial, and the expected time."""
+        if self._compare_subset and (call.ran_on is None or call.request_class.retry_safety != "guarded"):
+            found = self.select_from_subset(now, call)
             if found is not None:
                 return found
-        book, trust = self._book, self._trust
+        state, health = self._state, self._health
         best: Server | None = None
         best_time = 0.0
         drawn = 0
-        for turn in range(DRAWS):
+        for turn in range(MAX_DRAWS):
             server = self.draw(call, turn)
             if server is None:
                 return None, False, 0.0
-            if server is best or server in call.tried:
+            if server is best or server in call.tried_servers:
                 continue
-            if server.heft < self._ring.heaviest * self._random():
-                continue  # Exception "listed weight": servers of unlike size are drawn by the weight listed
-            if turn < DRAWS - 2 and now < server.mute.get(call.number, UNMUTED)[0]:
-                # Exception "unanswered class": a server may fail one class and serve the rest, which k cannot
-                # tell. Drawn all the same at the end, lest a shared cause leave the class no server.
+            if server.weight < self._subset.max_weight * self._random():
+                continue  # Exception "listed weight": servers are drawn in proportion to their weights
+            if turn < MAX_DRAWS - 2 and now < server.ejected_classes.get(call.class_index, NOT_EJECTED)[0]:
+                # Exception "unanswered class": a server may fail one class only, which its budget does not
+                # show. The last draws include it, or a common cause would leave the class without a server.
                 continue
-            if not trust.fits(now, server):
+            if not health.admits(now, server):
                 continue
-            if not server.k:
+            if not server.steps:
                 return server, True, 0.0
-            time = self._expect(server, call, now)
+            time = self._expected_time(server, call, now)
             drawn += 1
-            if best is None or (server.inflight, time) < (best.inflight, best_time):
+            if best is None or (server.in_flight, time) < (best.in_flight, best_time):
                 best, best_time = server, time
             if drawn == 2:
                 break
-        if best is None and not book.room and book.up:
-            server = book.up[int(self._random() * len(book.up))]
-            grows = 0 < server.k < STEPS and server.trial_due(now) and trust.warm(server, now)
-            if grows and self._promises.may_go(now, call, server):
-                return server, True, 0.0  # growth: calls wait at full budgets, so one passes as a trial
+        if best is None and not state.available and state.up_servers:
+            server = state.up_servers[int(self._random() * len(state.up_servers))]
+            grows = 0 < server.steps < MAX_STEPS and server.trial_allowed(now) and health.is_warm(server, now)
+            if grows and self._rules.may_send(now, call, server):
+                return server, True, 0.0  # all budgets are full: one queued call is sent as a trial
         return best, False, best_time
 
-    def pick_own(self, now: int, call: Call) -> tuple[Server, bool, float] | None:
-        """Exception "own subset": of the few servers that are its own, a sidecar that can't ask compares all.
-        Two of them drawn at random would as often as not leave out the one that stands idle."""
-        ring, trust, random = self._ring, self._trust, self._random
+    def select_from_subset(self, now: int, call: Call) -> tuple[Server, bool, float] | None:
+        """Exception "own subset": compares the whole subset, as two random draws may miss an idle server."""
+        subset, health, random = self._subset, self._health, self._random
         best: Server | None = None
         best_key = (0, 0.0)
         best_time = 0.0
-        size = ring.within(call, 0)
+        size = subset.size_for(call, 0)
         usable = 0
-        # Exception "home": few others go to the first places of its stretch of the ring first, so what those
-        # hold is mostly its own, and own calls in flight tell. It harms where a few sidecars send nearly all.
-        order = ring.subset
+        # Exception "home": few other sidecars prefer the first servers of this order, so own calls in flight
+        # show their load well. A drawback where a few sidecars send nearly all requests.
+        order = subset.preference_order
         home = max(1, -(-len(order) // self._replicas))
-        first = int(random() * home) if home > 1 else 0  # among equals the first one found is taken
+        first = int(random() * home) if home > 1 else 0  # ties go to the first server found
         for place in range(len(order)):
             if usable >= size:
                 break
             server = order[(place + first) % home if place < home else place]
-            if server in call.tried or now < server.mute.get(call.number, UNMUTED)[0]:
+            if (server in call.tried_servers
+                    or now < server.ejected_classes.get(call.class_index, NOT_EJECTED)[0]):
                 continue
-            if server.heft < ring.heaviest * random() or not trust.fits(now, server):
+            if server.weight < subset.max_weight * random() or not health.admits(now, server):
                 continue
-            if not server.k:
-                if not self._suspects or server.erred:
-                    return server, True, 0.0  # only a call shows whether the errors have an end
-                server.trial = True
-                self._book.acts.append(ProbeServer(server.name))
+            if not server.steps:
+                if not self._probe_ejected or server.last_was_error:
+                    return server, True, 0.0  # a probe would not show whether the errors go on
+                server.trial_in_flight = True
+                self._state.actions.append(ProbeServer(server.name))
                 continue
             usable += 1
-            time = self._expect(server, call, now)
-            key = (server.inflight, time * (1 + min(AWAY, max(0, place - home + 1))))
+            time = self._expected_time(server, call, now)
+            key = (server.in_flight, time * (1 + min(MAX_DISTANCE_PENALTY, max(0, place - home + 1))))
             if best is None or key < best_key:
                 best, best_key, best_time = server, key, time
         return None if best is None else (best, False, best_time)
--- a/dunefield/ring.py
+++ b/dunefield/ring.py
@@ -1,122 +1,123 @@
-"""Which servers there are, which of them are this sidecar's own, and when a list is asked for."""
+"""The server list: known servers, this sidecar's subset of them, and subscription to updates."""
 
 from __future__ import annotations
 
 from zlib import crc32
 
-from dunefield.book import Book
-from dunefield.demand import Demand
+from dunefield.book import SharedState
+from dunefield.demand import RequestRates
 from dunefield.interface import ServerEntry, ServerListUpdate, StartTimer, SubscribeServerList
 from dunefield.state import Call, Server
 
-FEW = 2  # servers that an idle sidecar draws from at least: one of them may be bad
-SPREAD = 2.5  # and more for each call in flight by Little's law: where calls go while those at home are busy
+MIN_SUBSET_SIZE = 2  # one of them may be bad
+SERVERS_PER_CALL = 2.5  # added per expected call in flight, for use while the preferred ones are busy
 
 
-class Ring:
-    """Servers as the list tells of them, and the list itself."""
+class ServerSubset:
+    """Maintains the servers of the list and their order of preference for this sidecar."""
 
-    def __init__(self, book: Book, demand: Demand) -> None:
-        self._book, self._demand, self._set = book, demand, book.settings
-        self.subset: list[Server] = []  # all that are up, this sidecar's own first
+    def __init__(self, state: SharedState, rates: RequestRates) -> None:
+        self._state, self._rates, self._settings = state, rates, state.settings
+        self.preference_order: list[Server] = []  # all that are up, this sidecar's subset first
         self.groups: dict[int, list[Server]] = {}  # by cell, and by zone as -1 - zone
-        self.reach = 1  # servers that draws go over
-        self.heaviest = 1.0  # the largest weight listed
-        self.asked_at = 0  # before this no list is asked for
-        self._pause = book.settings.invariants.subscribe_within_ns // 16
-        self._watching = False
+        self.size = 1  # size of the subset at the last draw
+        self.max_weight = 1.0
+        self.next_subscribe_at = 0  # no subscription is sent before
+        self._retry_delay_ns = state.settings.invariants.subscribe_within_ns // 16
+        self._subscribed = False
 
-    def due(self, now: int) -> None:
-        """A timer has come due: ask for the list if it is time."""
-        if self._set.must_subscribe and not self._watching and now >= self.asked_at:
-            # Should no answer ever come, ask again: silence is no excuse for an old list.
-            pause = self._set.invariants.subscribe_within_ns // 2
-            self.asked_at = now + pause
-            self._book.acts += [SubscribeServerList(), StartTimer(pause, 0)]
+    def on_timer(self, now: int) -> None:
+        """Handles a timer: subscribes to the server list if it is time to."""
+        if self._settings.must_subscribe and not self._subscribed and now >= self.next_subscribe_at:
+            # Subscribe again if no response ever comes, so that the list does not become too old.
+            delay_ns = self._settings.invariants.subscribe_within_ns // 2
+            self.next_subscribe_at = now + delay_ns
+            self._state.actions += [SubscribeServerList(), StartTimer(delay_ns, 0)]
 
-    def take(self, now: int, event: ServerListUpdate) -> bool:
-        """Take news of the list; whether there is any list in them."""
-        inv = self._set.invariants
+    def handle_update(self, now: int, event: ServerListUpdate) -> bool:
+        """Applies an update of the list. Returns False if it carries no entries, as discovery failed."""
+        invariants = self._settings.invariants
         if event.scope == "FAILED":
-            # Discovery serves all sidecars: every failure doubles the pause, so that a crowd thins out. What
-            # is drawn may be twice the pause, and must leave a list younger than is allowed.
-            self._watching = False
-            self._pause = min(self._pause * 2, inv.subscribe_within_ns * 3 // 8)
-            self._ask_later(now)
+            # Each failure doubles the delay, as discovery serves all sidecars. The random delay may be twice
+            # as long, and must still leave the list younger than allowed.
+            self._subscribed = False
+            self._retry_delay_ns = min(self._retry_delay_ns * 2, invariants.subscribe_within_ns * 3 // 8)
+            self._schedule_subscribe(now)
             return False
         if event.scope == "SAVED":
-            # The first chance to act: a timer asked for before any event would be lost, and with it the list.
-            if self._set.must_subscribe:
-                self._ask_later(now)
+            # The first event: a timer started earlier would be lost, and the subscription with it.
+            if self._settings.must_subscribe:
+                self._schedule_subscribe(now)
         else:
-            self._watching = self._set.must_subscribe
-            self._pause = inv.subscribe_within_ns // 16
+            self._subscribed = self._settings.must_subscribe
+            self._retry_delay_ns = invariants.subscribe_within_ns // 16
         if event.scope != "INCREMENTAL":
             listed = {entry.server for entry in event.entries}
-            for name, server in self._book.servers.items():
+            for name, server in self._state.servers.items():
                 if name not in listed:
                     server.up, server.gone = False, True
-                    self._book.refresh(server)
+                    self._state.update_available(server)
         for entry in event.entries:
-            self.enter(now, entry)
-        self.relist()
+            self.update_server(now, entry)
+        self.rebuild()
         return True
 
-    def _ask_later(self, now: int) -> None:
-        pause = 1 + int(self._pause * 2 * self._book.random())
-        self.asked_at = now + pause
-        self._book.acts.append(StartTimer(pause, 0))
+    def _schedule_subscribe(self, now: int) -> None:
+        delay_ns = 1 + int(self._retry_delay_ns * 2 * self._state.random())
+        self.next_subscribe_at = now + delay_ns
+        self._state.actions.append(StartTimer(delay_ns, 0))
 
-    def enter(self, now: int, entry: ServerEntry) -> None:
-        """Note one line of the list."""
-        book = self._book
-        server = book.servers.get(entry.server)
+    def update_server(self, now: int, entry: ServerEntry) -> None:
+        """Adds or updates one server."""
+        state = self._state
+        server = state.servers.get(entry.server)
         if server is None:
-            server = book.servers[entry.server] = Server(entry)
-        server.zone, server.cell, server.heft = entry.zone, entry.cell, entry.weight
+            server = state.servers[entry.server] = Server(entry)
+        server.zone, server.cell, server.weight = entry.zone, entry.cell, entry.weight
         if server.started >= 0 and entry.started_ns > server.started:
-            server.reset()  # a restart: verdicts on the old process say nothing of the new one
+            server.reset()  # restarted: what is known of the old process no longer holds
         if entry.started_ns > server.started:
-            # Where in its first credit each sidecar stands is drawn, so that not all send at once.
+            # The initial credit is random, so that not all sidecars send at once.
             server.started = entry.started_ns
-            server.credit, server.credit_at = book.random(), now
+            server.warm_up_credit, server.warm_up_credit_at = state.random(), now
         server.up, server.gone = entry.lifecycle == "up", entry.lifecycle == "removed"
-        book.refresh(server)
+        state.update_available(server)
 
-    def relist(self) -> None:
-        """Rebuild what is derived from the list. Happens on list news only, never for a request."""
-        book = self._book
-        # Deploys bring new names for good: one that is gone is forgotten once nothing of it is out.
-        for server in [s for s in book.servers.values() if s.gone and not s.inflight and not s.askers]:
-            del book.servers[server.name]
-        book.up = sorted((s for s in book.servers.values() if s.up), key=lambda s: s.name)
+    def rebuild(self) -> None:
+        """Rebuilds what is derived from the list; called on list updates only, never for a request."""
+        state = self._state
+        # Each deployment brings new names: removed servers are deleted once nothing is in flight there.
+        for server in [
+                s for s in state.servers.values() if s.gone and not s.in_flight and not s.probe_waiters]:
+            del state.servers[server.name]
+        state.up_servers = sorted((s for s in state.servers.values() if s.up), key=lambda s: s.name)
         self.groups = {}
-        for server in book.up:
+        for server in state.up_servers:
             self.groups.setdefault(-1 - server.zone, []).append(server)
             self.groups.setdefault(server.cell, []).append(server)
-        self.heaviest = max((s.heft for s in book.up), default=1.0)
-        # One ring at all sidecars, each starting at its own number's place: every server is as many sidecars'
-        # own as any other, whichever servers and sidecars there are. Halls are interleaved: with one lost,
-        # each sidecar lacks as much of its own as the fleet does.
-        halls: dict[int, list[Server]] = {}
-        for server in sorted(book.up, key=lambda s: (crc32(s.name.encode()), s.name)):
-            halls.setdefault(server.zone, []).append(server)
-        ring = [((i + 0.5) / len(h), s.name, s) for h in halls.values() for i, s in enumerate(h)]
+        self.max_weight = max((s.weight for s in state.up_servers), default=1.0)
+        # All sidecars use one ring of servers, and each starts at the position of its index, so every server
+        # is in as many subsets as any other. Zones are interleaved, so losing one costs each the same part.
+        by_zone: dict[int, list[Server]] = {}
+        for server in sorted(state.up_servers, key=lambda s: (crc32(s.name.encode()), s.name)):
+            by_zone.setdefault(server.zone, []).append(server)
+        ring = [((i + 0.5) / len(zone), s.name, s) for zone in by_zone.values() for i, s in enumerate(zone)]
         ring.sort(key=lambda place: place[:2])
-        start = self._set.index % self._set.replicas * len(ring) // self._set.replicas
-        self.subset = [place[2] for place in ring[start:] + ring[:start]]
-        book.live, book.shut_until = sum(1 for s in book.up if s.k), 0
+        start = self._settings.index % self._settings.replicas * len(ring) // self._settings.replicas
+        self.preference_order = [place[2] for place in ring[start:] + ring[:start]]
+        state.active_count, state.unavailable_until = sum(1 for s in state.up_servers if s.steps), 0
 
-    def within(self, call: Call, further: int) -> int:
-        """How many of the servers on its ring this sidecar goes to.
+    def size_for(self, call: Call, extra: int) -> int:
+        """Returns how many servers of its preference order this sidecar uses.
 
-        Exception "own subset": a sidecar learns nothing of a fleet it meets once a minute; hundreds of them
-        fill the servers' connection tables, and handshakes take capacity. It keeps to its own share of the
-        fleet, or to a few for each call that it has in flight: most of what those hold is then its own, and
-        own calls in flight tell of their queues. It harms where few sidecars send nearly all there is."""
-        size = len(self.subset)
-        if self._book.narrow:
-            share = -(-size // self._set.replicas)
-            size = min(size, max(share, FEW + round(SPREAD * self._demand.flow * call.size)) + further)
-        self.reach = max(1, size)
+        Exception "own subset": a sidecar learns nothing about servers it calls once a minute; many sidecars
+        fill the servers' connection tables, and handshakes take capacity. So each uses its share of the
+        fleet, or a few servers per call in flight: most of their load is then its own, and its calls in
+        flight show their queues. A drawback where few sidecars send nearly all requests."""
+        size = len(self.preference_order)
+        if self._state.use_subset:
+            own_share = -(-size // self._settings.replicas)
+            size = min(size, max(own_share, MIN_SUBSET_SIZE + round(
+                SERVERS_PER_CALL * self._rates.mean_rate * call.expected_ns)) + extra)
+        self.size = max(1, size)
         return size
--- a/dunefield/rules.py
+++ b/dunefield/rules.py
@@ -1,150 +1,148 @@
-"""The decisions of one sidecar. Settings, events and actions are defined in `dunefield/interface.py`.
+"""Balancer of one sidecar. Settings, events and actions are defined in `dunefield/interface.py`.
 
-The ordinary path is the design's: each server has an in-flight budget of k steps times a learned
-concurrency figure; a call goes to the less loaded of two random servers by own calls in flight, ties by
-expected time to answer; servers at budget are redrawn; calls wait in order when all are full; a waiting
-call may pass as the server's one trial, under a backoff shared by all trials there. Each departure is
-marked "Exception" and listed in docs/design.md with the condition under which it acts.
-"""
+By default each server has an in-flight budget of some steps times a learned concurrency. A call goes to the
+less loaded of two random servers by own calls in flight, ties by expected response time; servers at their
+limit are redrawn; when all are full, calls are queued, and a queued call may be sent as a server's one trial,
+under a backoff shared by all its trials. Departures are marked "Exception" and listed in docs/design.md."""
 
 from __future__ import annotations
 
-from dunefield.asking import Asking
-from dunefield.book import Book
-from dunefield.crowding import STIR, Crowding
-from dunefield.demand import Demand
-from dunefield.hold import TICK, Hold
-from dunefield.idle import Idle
+from dunefield.asking import ProbedSelection
+from dunefield.book import SharedState
+from dunefield.crowding import LATE_RETRY_LEVEL, OverloadEstimate
+from dunefield.demand import RequestRates
+from dunefield.hold import QUEUE_TIMER_TAG, AdmissionQueue
+from dunefield.idle import IdleConnections
 from dunefield.interface import (NEVER_RAN, Action, AttemptFinished, AttemptOutcome, BodyCompleted,
     BodyDiscarded, ClientDisconnected, Event, ProbeResult, RequestArrived, ResponseStarted, ServerListUpdate,
     Settings, TimerFired)
-from dunefield.patience import Patience
-from dunefield.pick import Pick
-from dunefield.promises import Promises
+from dunefield.patience import ClientTimeouts
+from dunefield.pick import ServerSelection
+from dunefield.promises import AttemptRules
 from dunefield.retries import Retries
-from dunefield.ring import Ring
-from dunefield.speeds import Speeds
+from dunefield.ring import ServerSubset
+from dunefield.speeds import LatencyModel
 from dunefield.state import Call
-from dunefield.trust import Trust
+from dunefield.trust import ServerHealth
 
 
 class Balancer:
-    """One sidecar's balancer: clock, seed and events in, actions out. It holds the parts that decide."""
+    """Decides for one sidecar: takes a clock, a seed and events, returns actions. Does no I/O."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        self.book = book = Book(settings, seed)
-        self.patience = Patience()
-        self.demand = Demand(book.horizon, book.pace, now)
-        self.crowding = Crowding(book.classes, book.horizon, now)
-        self.ring = Ring(book, self.demand)
-        self.speeds = Speeds(book, self.crowding, now)
-        self.idle = Idle(book)
-        self.trust = Trust(book, self.demand, self.ring, self.speeds)
-        self.promises = Promises(book, self.idle)
-        self.pick = Pick(book, self.ring, self.speeds, self.trust, self.promises)
-        self.hold = Hold(book, self.demand, self.crowding, self.speeds, self.promises, self.pick)
-        self.asking = Asking(book, self.crowding, self.speeds, self.trust, self.promises, self.pick,
-                             self.hold)
-        self.retries = Retries(book, self.speeds, self.trust, self.promises, self.pick, self.asking)
+        self.state = state = SharedState(settings, seed)
+        self.timeouts = ClientTimeouts()
+        self.rates = RequestRates(state.horizon_ns, state.tick_ns, now)
+        self.overload = OverloadEstimate(state.classes, state.horizon_ns, now)
+        self.server_subset = ServerSubset(state, self.rates)
+        self.latencies = LatencyModel(state, self.overload, now)
+        self.idle = IdleConnections(state)
+        self.health = ServerHealth(state, self.rates, self.server_subset, self.latencies)
+        self.rules = AttemptRules(state, self.idle)
+        self.selection = ServerSelection(state, self.server_subset, self.latencies, self.health, self.rules)
+        self.queue = AdmissionQueue(state, self.rates, self.overload, self.latencies, self.rules,
+                                    self.selection)
+        self.probed = ProbedSelection(state, self.overload, self.latencies, self.health, self.rules,
+                                      self.selection, self.queue)
+        self.retries = Retries(state, self.latencies, self.health, self.rules, self.selection, self.probed)
 
-    def census(self, now: int) -> tuple[int, int]:
-        """Servers in the list, and those of them that no call goes to now: draining, left until a backoff
-        ends or a trial is back, or muted."""
-        listed = [s for s in self.book.servers.values() if not s.gone]
-        return len(listed), sum(1 for s in listed if not s.up or not s.k or now < s.mute_until)
+    def server_counts(self, now: int) -> tuple[int, int]:
+        """Counts the listed servers, and those that get no calls: draining, backing off or ejected."""
+        listed = [s for s in self.state.servers.values() if not s.gone]
+        return len(listed), sum(1 for s in listed if not s.up or not s.steps or now < s.ejected_until)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now`; return the actions to carry out, in order."""
-        book = self.book
-        acts: list[Action] = []
-        book.acts = acts
+        """Handles an event at clock time `now`; returns the actions to perform, in order."""
+        state = self.state
+        actions: list[Action] = []
+        state.actions = actions
         if isinstance(event, RequestArrived):
-            self._on_accept(now, event)
+            self._on_request(now, event)
         elif isinstance(event, ProbeResult):
-            self.asking.echo(now, event)
+            self.probed.handle_probe_result(now, event)
         elif isinstance(event, AttemptFinished):
-            self._on_response(now, event)
+            self._on_attempt_finished(now, event)
         elif isinstance(event, TimerFired):
-            self.ring.due(now)
-            if event.tag == TICK:
-                # Told by its tag and not by the clock: another event of the same instant must not swallow the
-                # tick, or the held calls whose time is up would be lost.
-                self.asking.pump(now, True)
+            self.server_subset.on_timer(now)
+            if event.tag == QUEUE_TIMER_TAG:
+                # Not recognized by time: an event at the same instant must not hide it, or calls are lost.
+                self.probed.dispatch_queued(now, True)
         elif isinstance(event, ServerListUpdate):
-            if self.ring.take(now, event):
-                self.asking.pump(now)
+            if self.server_subset.handle_update(now, event):
+                self.probed.dispatch_queued(now)
         elif isinstance(event, ClientDisconnected):
-            book.drop(event.request_id)
-        elif isinstance(event, ResponseStarted) and event.request_id in book.calls:
-            book.calls[event.request_id].begun = True
-        elif isinstance(event, BodyDiscarded) and event.request_id in book.calls:
-            book.calls[event.request_id].spent = True
+            state.drop(event.request_id)
+        elif isinstance(event, ResponseStarted) and event.request_id in state.calls:
+            state.calls[event.request_id].response_started = True
+        elif isinstance(event, BodyDiscarded) and event.request_id in state.calls:
+            state.calls[event.request_id].body_discarded = True
         elif isinstance(event, BodyCompleted):
-            book.growing.discard(event.request_id)
-        return acts
+            state.incomplete.discard(event.request_id)
+        return actions
 
-    def _on_accept(self, now: int, event: RequestArrived) -> None:
-        book, hold = self.book, self.hold
-        # A class that the settings do not name may be one that must never run twice.
-        number = event.class_index if 0 <= event.class_index < len(book.classes) else len(book.classes) - 1
-        cls = book.classes[number]
-        # An answer is worth nothing to a client that has left, however far the aim: patience may be short.
-        aim_at = now + min(cls.target_ns + int(cls.target_work_factor * event.expected_work_ns),
-                           cls.deadline_ns, event.timeout_ns)
-        size = event.expected_work_ns + self.speeds.extra[number][0]
-        call = Call(event.request_id, number, cls, now + event.timeout_ns, aim_at,
-                    event.expected_work_ns, max(1.0, size))
-        call.give_up = hold.give_up(call)
-        book.calls[event.request_id] = call
+    def _on_request(self, now: int, event: RequestArrived) -> None:
+        state, queue = self.state, self.queue
+        # An unknown class may be one that must never run twice: it gets the last entry.
+        index = event.class_index if 0 <= event.class_index < len(state.classes) else len(state.classes) - 1
+        cls = state.classes[index]
+        # The client may time out before the target; a later response has no value.
+        target_at = now + min(cls.target_ns + int(cls.target_work_factor * event.expected_work_ns),
+                              cls.deadline_ns, event.timeout_ns)
+        expected_ns = event.expected_work_ns + self.latencies.base_times[index][0]
+        call = Call(event.request_id, index, cls, now + event.timeout_ns, target_at,
+                    event.expected_work_ns, max(1.0, expected_ns))
+        call.give_up_at = queue.give_up_time(call)
+        state.calls[event.request_id] = call
         if event.body_incomplete:
-            book.growing.add(event.request_id)
-        self.demand.asked(now)
-        self.crowding.count(number)
-        self.retries.earn()
-        past = self.patience.spent(event.timeout_ns, cls.deadline_ns) >= cls.target_ns and cls.late_value <= 0
-        # Exception "shedding": one whose aim has passed in tries before this one goes before all others.
-        if now >= call.give_up or (past and self.crowding.level > STIR) or hold.shed(now, number, call.size):
-            self.promises.end(call, cls.target_ns // 8)
-        elif book.probing:
-            self.asking.ask(now, call)
-        elif book.held:
-            hold.keep(now, call)  # arrival order: nobody overtakes a waiting call
-            self.asking.pump(now)
-        elif not hold.go(now, call):
-            hold.keep(now, call)
+            state.incomplete.add(event.request_id)
+        self.rates.record_request(now)
+        self.overload.record_request(index)
+        self.retries.add_tokens()
+        late = self.timeouts.spent(event.timeout_ns, cls.deadline_ns) >= cls.target_ns and cls.late_value <= 0
+        # Exception "shedding": calls whose target passed during earlier tries are shed before all others.
+        if (now >= call.give_up_at or (late and self.overload.level > LATE_RETRY_LEVEL)
+                or queue.should_shed(now, index, call.expected_ns)):
+            self.rules.finish(call, cls.target_ns // 8)
+        elif state.probe_calls:
+            self.probed.probe_servers(now, call)
+        elif state.queued_calls:
+            queue.enqueue(now, call)  # calls are served in arrival order
+            self.probed.dispatch_queued(now)
+        elif not queue.dispatch(now, call):
+            queue.enqueue(now, call)
 
-    def _on_response(self, now: int, event: AttemptFinished) -> None:
-        book = self.book
-        attempt = book.attempts.pop((event.request_id, event.attempt), None)
+    def _on_attempt_finished(self, now: int, event: AttemptFinished) -> None:
+        state = self.state
+        attempt = state.attempts.pop((event.request_id, event.attempt), None)
         if attempt is None:
             return
-        server, how = attempt.server, event.outcome
-        del server.out[event.request_id, event.attempt]
-        server.inflight -= 1
-        server.used = now
-        if how == AttemptOutcome.OK:
-            server.heard = now
-            self.retries.overtake(now, attempt)
-            self.idle.answered(now, attempt.idle)
-        stale = how == AttemptOutcome.RESET and self.idle.stale(now, attempt.idle, event.latency_ns)
-        if attempt.sent >= server.started:  # else it speaks of the process before, and that one is gone
-            server.trial = server.trial and not attempt.trial
+        server, outcome = attempt.server, event.outcome
+        del server.open_attempts[event.request_id, event.attempt]
+        server.in_flight -= 1
+        server.last_used_at = now
+        if outcome == AttemptOutcome.OK:
+            server.last_response_at = now
+            self.retries.cancel_overtaken(now, attempt)
+            self.idle.record_success(now, attempt.idle_ns)
+        stale = outcome == AttemptOutcome.RESET and self.idle.on_reset(now, attempt.idle_ns, event.latency_ns)
+        if attempt.sent_at >= server.started:  # else it was sent to the previous process
+            server.trial_in_flight = server.trial_in_flight and not attempt.is_trial
             if not stale:
-                if how == AttemptOutcome.OK and event.latency_ns > 0:
-                    self.demand.answered(now)
-                    self.speeds.learn(now, attempt, event.latency_ns)
-                self.speeds.feel(now, attempt, how, event.latency_ns)
-                self.trust.judge(now, attempt, how)
-        book.refresh(server)
-        call = book.calls.get(event.request_id)
+                if outcome == AttemptOutcome.OK and event.latency_ns > 0:
+                    self.rates.record_response(now)
+                    self.latencies.record_response(now, attempt, event.latency_ns)
+                self.latencies.record_overload_signal(now, attempt, outcome, event.latency_ns)
+                self.health.record_outcome(now, attempt, outcome)
+        state.update_available(server)
+        call = state.calls.get(event.request_id)
         if call is not None:
-            call.out -= 1
+            call.in_flight -= 1
             if event.closed:
-                book.drop(event.request_id)
-            elif how not in NEVER_RAN and call.ran_on is None:
-                call.ran_on, call.ran_at = server, attempt.sent
-            if not event.closed and not call.out and not call.begun:
-                # A broken connection is no sign of load, so its repeat is free; so is one that cost nothing.
-                swift = how in NEVER_RAN and event.latency_ns < call.cls.target_ns // 8
-                self.retries.again(now, call, stale or (book.suspects and swift))
-        self.asking.pump(now)
+                state.drop(event.request_id)
+            elif outcome not in NEVER_RAN and call.ran_on is None:
+                call.ran_on, call.ran_at = server, attempt.sent_at
+            if not event.closed and not call.in_flight and not call.response_started:
+                # Stale connections are no sign of load, fast failures cost nothing: such retries are free.
+                failed_fast = outcome in NEVER_RAN and event.latency_ns < call.request_class.target_ns // 8
+                self.retries.retry(now, call, stale or (state.probe_ejected and failed_fast))
+        self.probed.dispatch_queued(now)
--- a/dunefield/speeds.py
+++ b/dunefield/speeds.py
@@ -1,63 +1,64 @@
-"""How long work takes: by class, at each server and at all of them, as own answers tell."""
+"""Latency model: response times by class, by server and of the fleet, learned from own responses."""
 
 from __future__ import annotations
 
-from dunefield.book import Book
-from dunefield.budget import GAIN
-from dunefield.crowding import CROWDED, Crowding
+from dunefield.book import SharedState
+from dunefield.budget import BASE_SMOOTHING
+from dunefield.crowding import SHEDDING_LEVEL, OverloadEstimate
 from dunefield.interface import AttemptOutcome
 from dunefield.state import Attempt, Server
 
-SLOW = 1.5  # an answer is slow from so many times what it takes uncrowded: servers that hold more may jam
-MEMORY = 32  # horizons after which half of what is known of a server's speed has faded
+SLOW_FACTOR = 1.5  # of the expected time: a slow response; servers that hold more may stall
+FADE_DEADLINES = 32  # half-life of a server's slowdown, in longest deadlines
 
 
-class Speeds:
-    """Times to answer, and what their length says of the crowd."""
+class LatencyModel:
+    """Learns response times, and reports slow ones to the overload estimate."""
 
-    def __init__(self, book: Book, crowding: Crowding, now: int) -> None:
-        self._book, self._crowding = book, crowding
-        self._inv, self._horizon, self._probing = book.settings.invariants, book.horizon, book.probing
-        self._span = (8 if book.probing else MEMORY) * book.horizon
-        # Mean time to answer by class when uncrowded, beyond what a call's hint tells; its samples; the last.
-        self.extra = [(c.target_ns / 4, 0, now) for c in book.classes]
-        self.stretch = 1.0  # service time over size, all servers
+    def __init__(self, state: SharedState, overload: OverloadEstimate, now: int) -> None:
+        self._state, self._overload = state, overload
+        self._invariants, self._horizon_ns, self._probe_calls = (
+            state.settings.invariants, state.horizon_ns, state.probe_calls)
+        self._fade_ns = (8 if state.probe_calls else FADE_DEADLINES) * state.horizon_ns
+        # By class: mean response time beyond the announced work without overload; samples; last update.
+        self.base_times = [(c.target_ns / 4, 0, now) for c in state.classes]
+        self.slowdown = 1.0  # service time as a multiple of the expected time, all servers
 
-    def learn(self, now: int, attempt: Attempt, lag: int) -> None:
-        """An answer took `lag` nanoseconds."""
+    def record_response(self, now: int, attempt: Attempt, latency_ns: int) -> None:
+        """Learns from a response that took `latency_ns`."""
         server = attempt.server
-        service = lag * self.ramp(server, now)  # being cold is no fault, and passes
-        sample = service / attempt.size
-        known = server.stretch if server.seen else self.stretch
-        server.stretch, server.seen = known + (sample - known) * GAIN, now
-        self.stretch += (sample - self.stretch) * GAIN / 8
-        extra, count, at = self.extra[attempt.cls]
-        error = min(service - attempt.hint - extra, 2 * attempt.size)  # a few cost many times the usual
-        # By time and both ways alike: a jam hardly moves it, and a figure set too low does not last.
-        first = count < 2 or (count < 32 and self._crowding.level < CROWDED)
-        gain = max(1.0 / (count + 1) if first else 0.0, (now - at) / (64 * self._horizon))
-        self.extra[attempt.cls] = (max(0.0, extra + error * min(gain, 1.0)), count + 1, now)
-        self._crowding.answered(lag / self._book.classes[attempt.cls].target_ns)
-
-    def feel(self, now: int, attempt: Attempt, how: int, lag: int) -> None:
-        """How crowded the fleet is, from own answers alone."""
-        silent = how == AttemptOutcome.TIMEOUT and attempt.server.seen < attempt.sent  # to all, as in a jam
-        if self._probing or not (silent or how in (AttemptOutcome.OK, AttemptOutcome.FULL)):
-            return  # echoes tell it better
-        self._crowding.felt(now, how != AttemptOutcome.OK or lag > SLOW * attempt.size)
-
-    def ramp(self, server: Server, now: int) -> float:
-        """The share of its capacity that a server has at worst, being cold."""
-        inv = self._inv
+        service_ns = latency_ns * self.warm_up_fraction(server, now)  # without the warm-up
+        sample = service_ns / attempt.expected_ns
+        previous = server.slowdown if server.sampled_at else self.slowdown
+        server.slowdown, server.sampled_at = previous + (sample - previous) * BASE_SMOOTHING, now
+        self.slowdown += (sample - self.slowdown) * BASE_SMOOTHING / 8
+        base_time, count, updated_at = self.base_times[attempt.class_index]
+        error = min(service_ns - attempt.work_ns - base_time, 2 * attempt.expected_ns)  # limits outliers
+        # Weighted by time, in both directions: overload hardly moves it, and a value too low does not last.
+        settling = count < 2 or (count < 32 and self._overload.level < SHEDDING_LEVEL)
+        gain = max(1.0 / (count + 1) if settling else 0.0, (now - updated_at) / (64 * self._horizon_ns))
+        self.base_times[attempt.class_index] = (max(0.0, base_time + error * min(gain, 1.0)), count + 1, now)
+        self._overload.record_response(latency_ns / self._state.classes[attempt.class_index].target_ns)
+
+    def record_overload_signal(self, now: int, attempt: Attempt, outcome: int, latency_ns: int) -> None:
+        """Updates the overload estimate from an own outcome; a server silent to all calls counts as slow."""
+        silent = outcome == AttemptOutcome.TIMEOUT and attempt.server.sampled_at < attempt.sent_at
+        if self._probe_calls or not (silent or outcome in (AttemptOutcome.OK, AttemptOutcome.FULL)):
+            return  # probe results show it better
+        self._overload.record_slow(
+            now, outcome != AttemptOutcome.OK or latency_ns > SLOW_FACTOR * attempt.expected_ns)
+
+    def warm_up_fraction(self, server: Server, now: int) -> float:
+        """Returns the least fraction of its capacity that a server has while it warms up."""
+        rules = self._invariants
         age = now - server.started
-        if server.started <= 0 or age >= inv.warm_up_ns:
+        if server.started <= 0 or age >= rules.warm_up_ns:
             return 1.0
-        return inv.cold_start_fraction + (1.0 - inv.cold_start_fraction) * max(age, 0) / inv.warm_up_ns
-
-    def speed(self, now: int, server: Server) -> float:
-        """A server's time to answer over size. What is old fades to the mean: one that is passed over tells
-        nothing new."""
-        if not server.seen:
-            return self.stretch
-        fade = self._span / (self._span + now - server.seen)
-        return self.stretch + (server.stretch - self.stretch) * fade
+        return rules.cold_start_fraction + (1.0 - rules.cold_start_fraction) * max(age, 0) / rules.warm_up_ns
+
+    def server_slowdown(self, now: int, server: Server) -> float:
+        """Returns a server's slowdown, which fades to the fleet's mean without new samples."""
+        if not server.sampled_at:
+            return self.slowdown
+        fade = self._fade_ns / (self._fade_ns + now - server.sampled_at)
+        return self.slowdown + (server.slowdown - self.slowdown) * fade
--- a/dunefield/state.py
+++ b/dunefield/state.py
@@ -1,4 +1,4 @@
-"""What one balancer remembers: servers, calls it owes an answer, attempts that are out."""
+"""Records of one balancer: known servers, open requests and attempts in flight."""
 
 from __future__ import annotations
 
@@ -7,82 +7,83 @@
 from dunefield.budget import Budget
 from dunefield.interface import ServerEntry, RequestClass
 
-FIGURE = 2.0  # concurrency figure of a server nothing is known of, and its ceiling: each step admits so many
+MAX_CONCURRENCY = 2.0  # calls admitted per budget step; also the initial value for an unknown server
 
 
 class Server(Budget):
-    """What this sidecar knows of one server, beside how much it may send there."""
+    """What this sidecar knows of one server, in addition to its budget."""
 
     __slots__ = (
-        "name", "zone", "cell", "heft", "up", "gone", "started", "inflight", "stretch", "seen", "peak",
-        "used", "idle", "slot", "mute", "load", "mute_until", "heard", "struck", "erred", "askers", "credit",
-        "credit_at", "out",
-    )
+        "name", "zone", "cell", "weight", "up", "gone", "started", "in_flight", "slowdown", "sampled_at",
+        "open_connections", "last_used_at", "idle_ns", "available_index", "ejected_classes", "load",
+        "ejected_until", "last_response_at", "last_failure_at", "last_was_error", "probe_waiters",
+        "warm_up_credit", "warm_up_credit_at", "open_attempts")
 
     def __init__(self, entry: ServerEntry) -> None:
-        super().__init__(FIGURE)
+        super().__init__(MAX_CONCURRENCY)
         self.name = entry.server
-        self.zone, self.cell, self.heft = entry.zone, entry.cell, entry.weight
-        self.inflight = 0
-        self.peak = 0  # connections open, as far as own calls in flight tell
-        self.used = 0  # when a connection was last used
-        self.idle = 0  # how long it had been idle before that
-        self.slot = -1  # place in the list of servers under budget, -1 when not in it
-        self.askers: list[Call] = []  # calls that wait for the probe that is out, if there are any
-        self.out: dict[tuple[str, int], Attempt] = {}  # by call and number, in the order sent
+        self.zone, self.cell, self.weight = entry.zone, entry.cell, entry.weight
+        self.in_flight = 0
+        self.open_connections = 0  # lower bound, inferred from own calls in flight
+        self.last_used_at = 0  # when a connection was last used
+        self.idle_ns = 0  # how long that connection had been idle before
+        self.available_index = -1  # index in SharedState.available, -1 if not in it
+        self.probe_waiters: list[Call] = []  # calls that wait for the probe in flight, if there is one
+        self.open_attempts: dict[tuple[str, int], Attempt] = {}  # by request and number, in the order sent
         self.up = self.gone = False
         self.started = -1
         self.reset()
 
     def reset(self) -> None:
-        """A new process: nothing learned of the old one holds."""
-        self.renew()
-        self.stretch = 0.0
-        self.seen = 0  # 0: never heard of, so the fleet's mean stands in
-        self.heard = 0  # when it last answered anything at all
-        self.struck = 0  # when something last broke or fell silent there
-        self.erred = False  # whether its last verdict was an error
-        self.load = 0.0  # requests held, by the last echo and own sends since
-        self.mute_until = 0  # no probes before this: the last one failed
-        self.mute: dict[int, tuple[int, int]] = {}  # classes left unanswered: until when, for how long
-        self.credit = 0.0  # calls that a server which may be cold may be sent, as of when
-        self.credit_at = 0
+        """Discards everything learned, because the server process has been replaced."""
+        self.reset_budget()
+        self.slowdown = 0.0
+        self.sampled_at = 0  # time of the last `slowdown` sample; 0: none yet, the fleet's mean is used
+        self.last_response_at = 0  # any response counts
+        self.last_failure_at = 0  # last broken connection or timeout
+        self.last_was_error = False  # whether the last outcome was an error response
+        self.load = 0.0  # requests at the server: last probe result plus own calls sent since
+        self.ejected_until = 0  # after a failed probe
+        self.ejected_classes: dict[int, tuple[int, int]] = {}  # by class index: until when, pause length
+        self.warm_up_credit = 0.0  # calls that a cold server may be sent, at the time below
+        self.warm_up_credit_at = 0
 
 
 class Call:
-    """A request this sidecar owes an answer."""
+    """A client request that has not been answered yet."""
 
     __slots__ = (
-        "request_id", "number", "cls", "deadline", "aim_at", "size", "tried", "out", "attempts", "ran_on",
-        "ran_at", "begun", "spent", "give_up", "pending", "rounds", "best", "hint", "queue", "best_wait",
-    )
-
-    def __init__(self, request_id: str, number: int, cls: RequestClass, deadline: int, aim_at: int,
-                 hint: float, size: float) -> None:
-        self.request_id, self.number, self.cls = request_id, number, cls
-        self.deadline, self.aim_at = deadline, aim_at
-        self.hint = hint  # work as told, 0 where nothing is
-        self.size = size  # expected time to answer of an idle server
-        self.tried: list[Server] = []
-        self.out = 0  # attempts without an outcome
+        "request_id", "class_index", "request_class", "deadline", "target_at", "expected_ns", "tried_servers",
+        "in_flight", "attempts", "ran_on", "ran_at", "response_started", "body_discarded", "give_up_at",
+        "pending_probes", "probe_rounds", "best_server", "work_ns", "shortest_queue", "best_wait")
+
+    def __init__(self, request_id: str, class_index: int, request_class: RequestClass, deadline: int,
+                 target_at: int, work_ns: float, expected_ns: float) -> None:
+        self.request_id, self.class_index, self.request_class = request_id, class_index, request_class
+        self.deadline, self.target_at = deadline, target_at
+        self.work_ns = work_ns  # as announced by the client, else 0
+        self.expected_ns = expected_ns  # expected response time of an idle server
+        self.tried_servers: list[Server] = []
+        self.in_flight = 0  # attempts without an outcome
         self.attempts = 0
-        self.ran_on: Server | None = None  # first server that may have run it
+        self.ran_on: Server | None = None  # first server that may have executed the request
         self.ran_at = 0
-        self.begun = False
-        self.spent = False  # its body is not held any more, so no further attempt can be made
-        self.give_up = deadline
-        self.pending = self.rounds = 0  # probes whose echo is due; rounds of probes asked for
-        self.queue = math.inf  # the shortest queue among those that echoed in this round
-        self.best: Server | None = None  # the server that echoed and answers soonest
-        self.best_wait = 0.0  # in how many times the call's size
+        self.response_started = False
+        self.body_discarded = False  # the body is no longer buffered, so no further attempt is possible
+        self.give_up_at = deadline
+        self.pending_probes = self.probe_rounds = 0
+        self.shortest_queue = math.inf  # of the probe results of this round
+        self.best_server: Server | None = None  # of the probed servers, the one expected to respond first
+        self.best_wait = 0.0  # its expected response time, as a multiple of `expected_ns`
 
 
 class Attempt:
-    """One attempt whose outcome is due; it outlives its call."""
+    """An attempt without an outcome; it may outlive its call."""
 
-    __slots__ = ("server", "trial", "sent", "size", "cls", "hint", "idle", "passed")
+    __slots__ = (
+        "server", "is_trial", "sent_at", "expected_ns", "class_index", "work_ns", "idle_ns", "overtaken")
 
-    def __init__(self, server: Server, trial: bool, sent: int, call: Call) -> None:
-        self.server, self.trial, self.sent, self.idle = server, trial, sent, server.idle
-        self.size, self.cls, self.hint = call.size, call.number, call.hint
-        self.passed = 0  # later calls that the server has answered before this one
+    def __init__(self, server: Server, is_trial: bool, sent_at: int, call: Call) -> None:
+        self.server, self.is_trial, self.sent_at, self.idle_ns = server, is_trial, sent_at, server.idle_ns
+        self.expected_ns, self.class_index, self.work_ns = call.expected_ns, call.class_index, call.work_ns
+        self.overtaken = 0  # calls sent later that the server has answered first
--- a/dunefield/trust.py
+++ b/dunefield/trust.py
@@ -1,149 +1,150 @@
-"""How far each server is trusted: budgets and trials, convictions, rations of the cold."""
+"""Server health: budgets and trials, ejection after failures, limited traffic to cold servers."""
 
 from __future__ import annotations
 
-from dunefield.book import UNMUTED, Book
-from dunefield.budget import STEPS
-from dunefield.demand import Demand
+from dunefield.book import NOT_EJECTED, SharedState
+from dunefield.budget import MAX_STEPS
+from dunefield.demand import RequestRates
 from dunefield.interface import AttemptOutcome, ProbeResult
-from dunefield.ring import Ring
-from dunefield.speeds import Speeds
+from dunefield.ring import ServerSubset
+from dunefield.speeds import LatencyModel
 from dunefield.state import Attempt, Server
 
-COLD_SHARE = 0.7  # of the demand, retries in it, that a server's warmth is held against
-UNTOLD = 2.0  # requests that a server is supposed to hold where its report is missing
+COLD_SHARE = 0.7  # part of the request rate, with retries, that counts at least for a cold server
+UNKNOWN_LOAD = 2.0  # requests assumed to be at a server that sends no load report
 
 
-class Trust:
-    """What is made of each server."""
+class ServerHealth:
+    """Updates the health of servers from outcomes and probes, and decides which may get calls."""
 
-    def __init__(self, book: Book, demand: Demand, ring: Ring, speeds: Speeds) -> None:
-        self._book, self._demand, self._ring, self._speeds = book, demand, ring, speeds
-        self._horizon, self._probing, self._suspects = book.horizon, book.probing, book.suspects
-        self._cold_ns = book.settings.invariants.warm_up_ns
+    def __init__(self, state: SharedState, rates: RequestRates, subset: ServerSubset,
+                 latencies: LatencyModel) -> None:
+        self._state, self._rates, self._subset, self._latencies = state, rates, subset, latencies
+        self._horizon_ns, self._probe_calls, self._probe_ejected = (
+            state.horizon_ns, state.probe_calls, state.probe_ejected)
+        self._warm_up_ns = state.settings.invariants.warm_up_ns
 
-    def judge(self, now: int, attempt: Attempt, how: int) -> None:
-        """Budget, trial and conviction after an outcome."""
+    def record_outcome(self, now: int, attempt: Attempt, outcome: int) -> None:
+        """Updates the server's budget after an outcome, and ejects the server if need be."""
         server = attempt.server
-        if how in (AttemptOutcome.CANCELLED, AttemptOutcome.MOOT):
-            return  # withdrawn or never sent: no verdict on the server
-        broken = how in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET)
-        if broken and not self.struck(now, server, attempt.sent) and not self._suspects:
+        if outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.MOOT):
+            return  # cancelled or never sent: says nothing about the server
+        broken = outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET)
+        if broken and not self.record_failure(now, server, attempt.sent_at) and not self._probe_ejected:
             return
-        failed = how != AttemptOutcome.OK
-        before = server.k
-        if self._suspects and failed and not attempt.trial:
-            self._suspect(now, attempt, how)
-        elif attempt.trial:
+        failed = outcome != AttemptOutcome.OK
+        before = server.steps
+        if self._probe_ejected and failed and not attempt.is_trial:
+            self._eject_after_failure(now, attempt, outcome)
+        elif attempt.is_trial:
             if failed:
-                server.hold_off(now, self._horizon, 8 * self._horizon, self._book.random)
+                server.back_off(now, self._horizon_ns, 8 * self._horizon_ns, self._state.random)
             else:
-                server.grow()
-        elif broken and server.k:
-            server.halve()
-        if how == AttemptOutcome.FULL:
-            server.refused()
-        elif how == AttemptOutcome.TIMEOUT:
-            self.unanswered(now, attempt)
+                server.add_step()
+        elif broken and server.steps:
+            server.halve_steps()
+        if outcome == AttemptOutcome.FULL:
+            server.lower_concurrency()
+        elif outcome == AttemptOutcome.TIMEOUT:
+            self.record_timeout(now, attempt)
         elif not failed:
-            server.mute.pop(attempt.cls, None)
-            server.accepted()
-        again, server.erred = server.erred, how == AttemptOutcome.ERROR
-        if server.erred and again and self._may_convict():
-            # Exception "conviction": failing servers answer fast, look idle and would draw all calls. Not at
-            # a first error: healthy ones have those, too, and a small fleet would lack them for nothing.
-            server.k = 0
-        if before and not server.k:
-            self._book.live -= server.up
-            if not attempt.trial:
-                server.shut(now, 0 if self._suspects else self._horizon, self._book.random)
-        elif server.k and not before:
-            self._book.live += server.up
+            server.ejected_classes.pop(attempt.class_index, None)
+            server.raise_concurrency()
+        repeated, server.last_was_error = server.last_was_error, outcome == AttemptOutcome.ERROR
+        if server.last_was_error and repeated and self._may_eject():
+            # Exception "conviction": failing servers respond fast, look idle and would attract all calls. Not
+            # at a first error: healthy servers return some too, and a small fleet would lose them needlessly.
+            server.steps = 0
+        if before and not server.steps:
+            self._state.active_count -= server.up
+            if not attempt.is_trial:
+                server.start_backoff(now, 0 if self._probe_ejected else self._horizon_ns, self._state.random)
+        elif server.steps and not before:
+            self._state.active_count += server.up
 
-    def _suspect(self, now: int, attempt: Attempt, how: int) -> None:
-        """Exception "suspicion": a sidecar that goes by its own few calls leaves a server at its first
-        failure and asks it by a probe before it comes back: a second and third call would be lost to learn
-        the same, and a server that turns all away at once looks idle and draws them. Half of the fleet is
-        left in any case."""
+    def _eject_after_failure(self, now: int, attempt: Attempt, outcome: int) -> None:
+        """Exception "suspicion": a sidecar with only its own few calls ejects a server at the first failure
+        and probes it before using it again. Further calls would be lost to learn the same, and a server that
+        rejects everything looks idle and attracts them. Half of the fleet is kept in any case."""
         server = attempt.server
-        if how == AttemptOutcome.FULL and server.inflight:
-            return  # own calls fill it: the figure takes care of that
-        if how == AttemptOutcome.TIMEOUT and server.heard > attempt.sent:
-            return  # it has answered others since
-        if not server.k or not self._may_convict():
+        if outcome == AttemptOutcome.FULL and server.in_flight:
+            return  # full of own calls: lowering the concurrency is enough
+        if outcome == AttemptOutcome.TIMEOUT and server.last_response_at > attempt.sent_at:
+            return  # it has responded to other calls since
+        if not server.steps or not self._may_eject():
             return
-        server.k = 0
-        server.backoff = int(2 * attempt.size) if how == AttemptOutcome.FULL else self._horizon
-        if how == AttemptOutcome.TIMEOUT and not self.struck(now, server, attempt.sent):
-            # Late and not silent, most likely: asked at once, it is back before others have to do its work.
-            # If it has answered nothing since the last time, asking tells too little.
+        server.steps = 0
+        server.backoff = int(2 * attempt.expected_ns) if outcome == AttemptOutcome.FULL else self._horizon_ns
+        if outcome == AttemptOutcome.TIMEOUT and not self.record_failure(now, server, attempt.sent_at):
+            # Probably just late: an immediate probe brings it back before others have to take its load. After
+            # a repeated failure a probe alone proves too little.
             server.backoff = 0
-        server.backoff = min(server.backoff, self._horizon)
+        server.backoff = min(server.backoff, self._horizon_ns)
 
-    def asked(self, now: int, server: Server, event: ProbeResult) -> bool:
-        """A suspect's probe is back: with an answer and no queue it is taken in again. False: out of date."""
-        if not server.trial or server.k:
-            return False  # of the process before, and meanwhile a call is the trial
-        server.trial = False
+    def handle_probe_result(self, now: int, server: Server, event: ProbeResult) -> bool:
+        """Handles the probe of an ejected server: readmits it if no queue is reported. False if outdated."""
+        if not server.trial_in_flight or server.steps:
+            return False  # from before a restart; a call may be the trial by now
+        server.trial_in_flight = False
         queue = event.load.get("queue", 0.0)
-        if event.outcome == AttemptOutcome.OK and queue < UNTOLD:
-            server.k, server.backoff, server.retry_at = 1, 0, 0
-            self._book.live += server.up
+        if event.outcome == AttemptOutcome.OK and queue < UNKNOWN_LOAD:
+            server.steps, server.backoff, server.retry_at = 1, 0, 0
+            self._state.active_count += server.up
         elif event.outcome == AttemptOutcome.OK:
-            # It works: no longer a suspect, only busy for about as long as that queue takes.
+            # Healthy, but busy for about as long as its queue takes.
             server.backoff = 0
-            server.retry_at = now + int(queue * self._book.pace * 4 * (0.75 + 0.5 * self._book.random()))
-        else:  # also where no connection came up in time, or there was no descriptor for one
-            server.hold_off(now, self._horizon, 4 * self._horizon, self._book.random)
-        self._book.refresh(server)
+            server.retry_at = now + int(queue * self._state.tick_ns * 4 * (0.75 + 0.5 * self._state.random()))
+        else:  # includes connect timeouts and a lack of own file descriptors
+            server.back_off(now, self._horizon_ns, 4 * self._horizon_ns, self._state.random)
+        self._state.update_available(server)
         return True
 
-    def unanswered(self, now: int, attempt: Attempt) -> None:
-        """A server let a class go unanswered: pass over it for that class. Where probes decide, a first time
-        since it last answered the class is only noted, as a single connection may have fallen silent."""
-        mute = attempt.server.mute
-        noted = attempt.cls in mute or not self._probing
-        pause = min(max(2 * mute.get(attempt.cls, UNMUTED)[1], self._horizon), 8 * self._horizon)
-        mute[attempt.cls] = (now + pause if noted else 0, pause)
+    def record_timeout(self, now: int, attempt: Attempt) -> None:
+        """Ejects a server for the class of an attempt that timed out. With probed calls only from the second
+        timeout since its last response to the class, as a single connection may have failed silently."""
+        ejected_classes = attempt.server.ejected_classes
+        ejects = attempt.class_index in ejected_classes or not self._probe_calls
+        pause = min(max(2 * ejected_classes.get(attempt.class_index, NOT_EJECTED)[1], self._horizon_ns),
+                    8 * self._horizon_ns)
+        ejected_classes[attempt.class_index] = (now + pause if ejects else 0, pause)
 
-    def struck(self, now: int, server: Server, sent: int) -> bool:
-        """Exception "broken connection": whether what broke or fell silent tells of the server. A connection
-        may do so at a healthy one, all day; a process that died or stands still does it again, unheard of
-        in between."""
-        if server.heard > sent:
+    def record_failure(self, now: int, server: Server, sent_at: int) -> bool:
+        """Exception "broken connection": records a failure and returns whether it counts against the server:
+        a healthy one may lose connections; a dead or stalled process fails again without responding."""
+        if server.last_response_at > sent_at:
             return False
-        again = server.struck > server.heard
-        server.struck = now
-        return again
+        repeated = server.last_failure_at > server.last_response_at
+        server.last_failure_at = now
+        return repeated
 
-    def _may_convict(self) -> bool:
-        """When most servers look bad the cause is shared, and convicting more only costs capacity."""
-        return 2 * self._book.live > len(self._book.up)
+    def _may_eject(self) -> bool:
+        """False if most servers look bad: the cause is shared, and ejecting more only costs capacity."""
+        return 2 * self._state.active_count > len(self._state.up_servers)
 
-    def warm(self, server: Server, now: int) -> bool:
-        """Exception "cold ramp": a server that may be cold gets its worst warmth's share of what own servers
-        answer, in credit for one call at a time. Answers and not demand, which a storm multiplies; a floor
-        of the demand, lest a fleet that is cold throughout gets nothing."""
-        if server.started <= 0 or now - server.started >= self._cold_ns:
+    def is_warm(self, server: Server, now: int) -> bool:
+        """Exception "cold ramp": whether a server is warm or has credit for a call. Credit grows by its least
+        warm-up fraction of the own response rate per server: retry storms multiply requests, not responses. A
+        part of the request rate is the minimum, or a fleet that is all cold would get nothing."""
+        if server.started <= 0 or now - server.started >= self._warm_up_ns:
             return True
-        ramp = self._speeds.ramp(server, now)
-        if ramp >= 1.0:
+        fraction = self._latencies.warm_up_fraction(server, now)
+        if fraction >= 1.0:
             return True
-        demand = self._demand
-        rate = ramp * max(demand.serving(now), COLD_SHARE * demand.flow) / self._ring.reach
-        server.credit = min(1.0, server.credit + rate * (now - server.credit_at))
-        server.credit_at = now
-        return server.credit >= 1.0
+        rates = self._rates
+        rate = fraction * max(rates.current_rate(now), COLD_SHARE * rates.mean_rate) / self._subset.size
+        server.warm_up_credit = min(1.0, server.warm_up_credit + rate * (now - server.warm_up_credit_at))
+        server.warm_up_credit_at = now
+        return server.warm_up_credit >= 1.0
 
-    def fits(self, now: int, server: Server) -> bool:
-        """Under budget or due for a trial, and warm enough. Growth: where all are at their budgets, one more
-        call may pass as a trial; with probes only where the server tells of fewer than are out from here, as
-        then some hang on silent connections; without, that is for Pick to say."""
+    def admits(self, now: int, server: Server) -> bool:
+        """Returns whether a server is under its limit or may get a trial, and is warm enough. If all servers
+        are at their limits, a trial may exceed one: with probed calls if the server reports fewer calls than
+        are in flight here, as some then hang on silent connections; else ServerSelection decides."""
         if not server.up:
             return False
-        if server.slot < 0:
-            hang = server.load + 0.5 < server.inflight
-            grows = self._probing and hang and not self._book.room and server.k < STEPS
-            if (server.k and not grows) or not server.trial_due(now):
+        if server.available_index < 0:
+            hangs = server.load + 0.5 < server.in_flight
+            grows = self._probe_calls and hangs and not self._state.available and server.steps < MAX_STEPS
+            if (server.steps and not grows) or not server.trial_allowed(now):
                 return False
-        return self.warm(server, now)
+        return self.is_warm(server, now)
--- a/tests/build.py
+++ b/tests/build.py
@@ -1,4 +1,4 @@
-"""Shared builders: settings and events with sensible defaults."""
+"""Builders of settings, events and balancers with default values, shared by the tests."""
 
 from __future__ import annotations
 
@@ -68,17 +68,21 @@
     return made
 
 
-def accept(request_id: str, cls: int = 0, timeout_ns: int = SECOND) -> RequestArrived:
+def request_arrived(request_id: str, cls: int = 0, timeout_ns: int = SECOND) -> RequestArrived:
     return RequestArrived(request_id, cls, timeout_ns)
 
 
-def outcome(
-    send: SendAttempt, how: int = AttemptOutcome.OK, latency_ns: int = 50 * MS, attempt: int = 0, **more: Any
+def attempt_finished(
+    send: SendAttempt,
+    outcome: int = AttemptOutcome.OK,
+    latency_ns: int = 50 * MS,
+    attempt: int = 0,
+    **more: Any,
 ) -> AttemptFinished:
     return AttemptFinished(
-        send.request_id, how, latency_ns, send.server, attempt, how == AttemptOutcome.OK, **more
+        send.request_id, outcome, latency_ns, send.server, attempt, outcome == AttemptOutcome.OK, **more
     )
 
 
-def only(actions: list[Any], kind: type) -> list[Any]:
+def of_type(actions: list[Any], kind: type) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -1,5 +1,6 @@
-"""The rules on sockets, over HTTP and every form of Thrift from one source: the same scene must come to the
-same end in each. Each scene tells what happened; what is to happen stands beside it."""
+"""The rules over real sockets: each scene must have the same result over HTTP and every form of Thrift.
+
+A scene returns what happened; the decorator holds what is expected."""
 
 from __future__ import annotations
 
@@ -26,34 +27,34 @@
 
 
 def scene(*expected):
-    def made(function):
+    def register(function):
         SCENES[function.__name__] = (function, expected)
         return function
 
-    return made
+    return register
 
 
 async def ok(talk: Talk, asked: Asked) -> None:
     await talk.serve(asked.rid.encode())
 
 
-async def reset(talk: Talk, asked: Asked) -> None:
+async def resets_connection(talk: Talk, asked: Asked) -> None:
     talk.reset()
 
 
-async def cut_off(talk: Talk, asked: Asked) -> None:
+async def truncates_response(talk: Talk, asked: Asked) -> None:
     await talk.cut_off()
 
 
-async def errs(talk: Talk, asked: Asked) -> None:
+async def returns_error(talk: Talk, asked: Asked) -> None:
     await talk.err()
 
 
-async def full(talk: Talk, asked: Asked) -> None:
+async def rejects_as_full(talk: Talk, asked: Asked) -> None:
     await talk.turn_away()
 
 
-async def spoils(talk: Talk, asked: Asked) -> None:
+async def sends_malformed_response(talk: Talk, asked: Asked) -> None:
     await talk.spoil()
     await asyncio.sleep(60)
 
@@ -71,41 +72,41 @@
 
 
 @scene(("served", b"r1"), ("served", b"r2"), ("served", b"r3"), [b"x" * 60_000] * 3, 1)
-async def a_call_goes_through_unchanged_and_connections_are_kept(tongue):
+async def a_call_is_forwarded_unchanged_and_connections_are_reused(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         client = await world.client()
         got = [await client.ask("guarded", f"r{n}", body=b"x" * 60_000, once=True) for n in (1, 2, 3)]
         return *(one[:2] for one in got), [call.body for call in node.calls], node.connections
 
 
-def repeats(script):
-    async def played(tongue):
-        told = []
+def retried_after(script):
+    async def run_scene(tongue):
+        results = []
         for cls in ("free", "single_shot"):
             async with Node(tongue, script) as node:
                 lines = tongue.line("s1", node.port), tongue.line("s2", node.port)
                 async with sidecar(tongue, *lines) as world:
                     got = await (await world.client()).ask(cls)
-                    told.append((cls, got.what, len(node.calls)))
-        return tuple(told)
+                    results.append((cls, got.what, len(node.calls)))
+        return tuple(results)
 
-    return played
+    return run_scene
 
 
 for script, ends in (
-    (reset, (("free", "refused", 2), ("single_shot", "failed", 1))),
-    (cut_off, (("free", "refused", 2), ("single_shot", "failed", 1))),
-    (errs, (("free", "refused", 2), ("single_shot", "failed", 1))),
-    (spoils, (("free", "refused", 2), ("single_shot", "failed", 1))),
-    (full, (("free", "refused", 2), ("single_shot", "refused", 2))),
+    (resets_connection, (("free", "refused", 2), ("single_shot", "failed", 1))),
+    (truncates_response, (("free", "refused", 2), ("single_shot", "failed", 1))),
+    (returns_error, (("free", "refused", 2), ("single_shot", "failed", 1))),
+    (sends_malformed_response, (("free", "refused", 2), ("single_shot", "failed", 1))),
+    (rejects_as_full, (("free", "refused", 2), ("single_shot", "refused", 2))),
 ):
-    SCENES[f"repeated_after_{script.__name__}"] = (repeats(script), ends)
+    SCENES[f"retried_after_{script.__name__}"] = (retried_after(script), ends)
 
 
 @scene("refused", ["served"] * 5, 5)
-async def what_has_not_run_goes_elsewhere_or_is_refused(tongue):
+async def a_request_that_was_not_executed_is_retried_or_refused(tongue):
     port = await closed_port()
-    async with Node(tongue, full) as busy, Node(tongue, ok) as good:
+    async with Node(tongue, rejects_as_full) as busy, Node(tongue, ok) as good:
         lines = [tongue.line("s1", busy.port), tongue.line("s2", port)]
         async with sidecar(tongue, *lines) as world:
             first = (await (await world.client()).ask("single_shot")).what
@@ -116,7 +117,7 @@
 
 
 @scene(["served"] * 10, 10)
-async def a_connection_closed_while_idle_is_not_sent_on(tongue):
+async def a_connection_closed_while_idle_is_not_used(tongue):
     async def once(talk: Talk, asked: Asked) -> None:
         await talk.serve(b"")
         talk.close()
@@ -127,7 +128,7 @@
 
 
 @scene(AttemptOutcome.OK, True, 0)
-async def a_client_that_leaves_still_leaves_the_module_its_outcome(tongue):
+async def the_balancer_gets_the_outcome_after_the_client_disconnects(tongue):
     came, go = asyncio.Event(), asyncio.Event()
 
     async def slow(talk: Talk, asked: Asked) -> None:
@@ -136,35 +137,35 @@
         await ok(talk, asked)
 
     async with Node(tongue, slow) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
-        told = world.watch()
+        events = world.watch()
         client = await world.client()
         await client.send("single_shot")
         await came.wait()
         client.leave()
-        while not isinstance(await told.get(), ClientDisconnected):
+        while not isinstance(await events.get(), ClientDisconnected):
             pass
         go.set()
-        while not isinstance(event := await told.get(), AttemptFinished):
+        while not isinstance(event := await events.get(), AttemptFinished):
             pass
         return event.outcome, event.closed, len(world.core._requests)
 
 
 @scene(1, 0)
-async def a_held_call_whose_client_leaves_is_forgotten(tongue):
+async def a_queued_call_is_dropped_when_its_client_disconnects(tongue):
     async with sidecar(tongue) as world:
-        told = world.watch()
+        events = world.watch()
         client = await world.client()
         await client.send("free")
-        assert isinstance(await told.get(), RequestArrived)
+        assert isinstance(await events.get(), RequestArrived)
         held = len(world.core._requests)
         client.leave()
-        while not isinstance(await told.get(), ClientDisconnected):
+        while not isinstance(await events.get(), ClientDisconnected):
             pass
         return held, len(world.core._requests)
 
 
 @scene([b"a", b"b", b"c"])
-async def calls_sent_ahead_are_answered_in_order(tongue):
+async def pipelined_calls_are_answered_in_order(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         client = await world.client()
         for rid in ("a", "b", "c"):
@@ -173,7 +174,7 @@
 
 
 @scene("served", "refused")
-async def the_time_of_a_call_that_waits_behind_another_runs(tongue):
+async def the_timeout_of_a_pipelined_call_includes_its_waiting_time(tongue):
     async def slow(talk: Talk, asked: Asked) -> None:
         await asyncio.sleep(0.4)
         await ok(talk, asked)
@@ -186,7 +187,7 @@
 
 
 @scene("broken", "served")
-async def a_fault_while_a_call_is_taken_costs_that_call_alone(tongue):
+async def an_exception_while_accepting_a_call_fails_only_that_call(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         client = await world.client()
         real, world.core._new_id = world.core._new_id, lambda rid, now: 1 // 0
@@ -196,8 +197,11 @@
 
 
 @scene("refused", "late", "refused")
-async def the_guard_answers_what_the_module_forgets(tongue):
-    async with Node(tongue, reset) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
+async def a_call_that_the_balancer_never_answers_still_gets_a_response(tongue):
+    async with (
+        Node(tongue, resets_connection) as node,
+        sidecar(tongue, tongue.line("s1", node.port)) as world,
+    ):
         client = await world.client()
         module = world.core._module
         module.handle = lambda now, event: []
@@ -210,7 +214,7 @@
 
 
 @scene("late", True, 1)
-async def a_silent_node_costs_one_answer_in_time(tongue):
+async def a_silent_server_leads_to_one_response_in_time(tongue):
     async with Node(tongue, silent) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         client = await world.client()
         start = time.monotonic()
@@ -219,7 +223,7 @@
 
 
 @scene("refused", "served")
-async def an_error_in_the_module_fails_its_call_and_no_other(tongue):
+async def an_exception_in_the_balancer_fails_only_its_call(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         client = await world.client()
         module = world.core._module
@@ -230,7 +234,7 @@
 
 
 @scene("repeated", "served", "repeated", 1)
-async def the_id_of_an_open_or_recent_call_is_turned_away(tongue):
+async def the_request_id_of_an_open_or_recent_call_is_rejected(tongue):
     came, go = asyncio.Event(), asyncio.Event()
 
     async def slow(talk: Talk, asked: Asked) -> None:
@@ -248,7 +252,7 @@
 
 
 @scene("served", "served", 2, 2)
-async def what_follows_a_good_answer_costs_the_connection_alone(tongue):
+async def data_after_a_valid_response_only_closes_the_connection(tongue):
     async def twice(talk: Talk, asked: Asked) -> None:
         await talk.write(talk.good(asked.rid.encode()) * 2)
 
@@ -259,8 +263,8 @@
 
 
 @scene([("served", b"1"), ("served", b"2"), ("served", b"3")], 3)
-async def an_answer_that_comes_late_on_a_kept_connection_is_nobodys(tongue):
-    """The call before was given up; what it is answered with must not be the next call's."""
+async def a_late_response_on_a_reused_connection_is_discarded(tongue):
+    """The response to a call that timed out must not be taken for the next call's."""
 
     async def late(talk: Talk, asked: Asked) -> None:
         if asked.rid == "0":
@@ -275,7 +279,7 @@
 
 
 @scene("served", "refused", 1)
-async def a_node_that_drains_gets_nothing_new(tongue):
+async def a_draining_server_gets_no_new_calls(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
         client = await world.client()
         first = (await client.ask("free")).what
@@ -285,9 +289,9 @@
 
 
 @scene(AttemptOutcome.MOOT, 0)
-async def a_drain_told_between_connect_and_first_byte_stops_the_send(tongue):
+async def a_drain_between_connect_and_first_byte_stops_the_send(tongue):
     async with Node(tongue, ok) as node, sidecar(tongue, tongue.line("s1", node.port)) as world:
-        told = world.watch()
+        events = world.watch()
         upstream = world.sidecar._upstream
         plain = upstream.connect
 
@@ -299,13 +303,13 @@
         upstream.connect = connect
         client = await world.client()
         await client.send("single_shot")
-        while not isinstance(event := await told.get(), AttemptFinished):
+        while not isinstance(event := await events.get(), AttemptFinished):
             pass
         return event.outcome, len(node.calls)
 
 
 @scene(RefuseRequest, 0.25, FailRequest, "failed")
-async def the_modules_own_ends_are_told_with_when_to_come_back(tongue):
+async def final_responses_of_the_balancer_are_sent_with_retry_after(tongue):
     async with sidecar(tongue) as world:
         client = await world.client()
         module = world.core._module
@@ -320,7 +324,7 @@
 
 
 @scene("served", {"inflight": 3.0, "queue": 2.0})
-async def a_probe_brings_the_report(tongue):
+async def a_probe_returns_the_load_report(tongue):
     async with Node(tongue, ok) as node:
         raw = settings(discovery="subscribe", reporting={"how": "probe"}, limits={"mayProbe": True})
         async with sidecar(tongue, tongue.line("s1", node.port), raw=raw) as world:
@@ -331,9 +335,9 @@
 
             plain, talk.load = talk.load, load
             try:
-                told = world.watch()
+                events = world.watch()
                 world.core._perform(ProbeServer("s1"))
-                while type(event := await told.get()).__name__ != "ProbeResult":
+                while type(event := await events.get()).__name__ != "ProbeResult":
                     pass
             finally:
                 talk.load = plain
@@ -341,7 +345,7 @@
 
 
 @scene("served", "served", 2)
-async def at_a_planned_end_what_was_taken_is_answered(tongue):
+async def accepted_calls_are_answered_at_shutdown(tongue):
     come, go = asyncio.Semaphore(0), asyncio.Event()
 
     async def slow(talk: Talk, asked: Asked) -> None:
@@ -355,7 +359,7 @@
         await come.acquire()
         stopping = asyncio.ensure_future(world.sidecar.stop())
         await asyncio.sleep(0)
-        await clients[1].send("single_shot")  # on a connection from before
+        await clients[1].send("single_shot")  # on a connection opened before
         await come.acquire()
         go.set()
         got = [(await client.answer()).what for client in clients]
@@ -366,11 +370,11 @@
 @pytest.mark.parametrize("name", SCENES)
 @pytest.mark.parametrize("tongue", TONGUES, ids=lambda tongue: tongue.name)
 def test_rule(tongue, name, record_property):
-    played, expected = SCENES[name]
+    run_scene, expected = SCENES[name]
     got = []
 
     async def limited():
-        got.append(await played(tongue))
+        got.append(await run_scene(tongue))
 
     record_property("rule", f"{name}|{tongue.name}")
     play(limited)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter: what it reads, what it writes, and plain words on what it cannot read."""
+"""The wire adapter: events read, actions written, and error messages for invalid input."""
 
 import io
 import json
@@ -39,7 +39,7 @@
     assert out[0] == "submit_to who=0 tid=00000000000000aa server=10.0.0.1:80 abandonAtNs=900000001"
 
 
-def test_served_by_two_instances_apart():
+def test_two_instances_are_independent():
     second = [OPEN.replace("who=0", "who=1"), LIST[2].replace("who=0", "who=1")]
     _, out = run(*batch(OPEN, *LIST, *second, "crash_now who=0", ACCEPT, ACCEPT.replace("who=0", "who=1")))
     assert [line.split()[1] for line in out if line.startswith("submit_to")] == ["who=1"]
@@ -58,7 +58,7 @@
         "alarm who=0 tag=77",
     ],
 )
-def test_unknown_things_are_passed_over(line):
+def test_unknown_events_and_fields_are_ignored(line):
     assert run(*batch(OPEN, *LIST, line)) == (0, ["next"])
 
 
@@ -82,7 +82,7 @@
         (["clock wallNs=1", OPEN], 2, "inside a batch"),
     ],
 )
-def test_bad_input_is_named_with_its_line(capsys, lines, number, words):
+def test_invalid_input_is_reported_with_its_line_number(capsys, lines, number, words):
     status, out = run(*lines)
     error = capsys.readouterr().err
     assert status != 0
@@ -95,7 +95,7 @@
     assert "inside a line" in capsys.readouterr().err
 
 
-def test_as_a_program():
+def test_run_as_a_program():
     made = subprocess.run(
         [sys.executable, "-m", "dunefield.adapter"],
         input="clock wallNs=1\neob\nclock wallNs=2\neob\n",
@@ -106,7 +106,7 @@
     assert (made.stdout, made.stderr) == ("next\nnext\n", "")
 
 
-def test_bytes_that_are_not_text():
+def test_invalid_utf8_is_reported():
     made = subprocess.run(
         [sys.executable, "-m", "dunefield.adapter"],
         input=b"clock wallNs=1\n\xff\neob\n",
--- a/tests/test_arrows.py
+++ b/tests/test_arrows.py
@@ -1,4 +1,4 @@
-"""The arrows between rooms are held: a wrong import, seeded into a copy of the tree, breaks its contract."""
+"""Import contracts: a forbidden import added to a copy of the tree breaks its contract."""
 
 import os
 import shutil
@@ -9,8 +9,8 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-FIRST = "from __future__ import annotations\n"
-SEEDS = [
+FUTURE_IMPORT = "from __future__ import annotations\n"
+FORBIDDEN_IMPORTS = [
     ("hollyport/core/ids.py", "import hollyport.nodes.upstream", "Rooms of the daemon"),
     ("hollyport/nodes/carrier.py", "import hollyport.http.heads", "Rooms of the daemon"),
     ("hollyport/bodies/ledger.py", "import hollyport.bodies.flow", "No circles"),
@@ -33,31 +33,31 @@
 ]
 
 
-def lint(tree: Path) -> subprocess.CompletedProcess[str]:
-    lint = Path(sys.executable).parent / "lint-imports"
-    told = {**os.environ, "PYTHONPATH": str(tree), "COLUMNS": "200"}
-    words = [str(lint), "--no-cache"]
-    return subprocess.run(words, cwd=tree, env=told, capture_output=True, text=True, timeout=120)
+def run_lint(tree: Path) -> subprocess.CompletedProcess[str]:
+    executable = Path(sys.executable).parent / "lint-imports"
+    env = {**os.environ, "PYTHONPATH": str(tree), "COLUMNS": "200"}
+    command = [str(executable), "--no-cache"]
+    return subprocess.run(command, cwd=tree, env=env, capture_output=True, text=True, timeout=120)
 
 
-def copied(folder: Path) -> Path:
+def copy_tree(folder: Path) -> Path:
     for name in ("command", "dunefield", "hollyport", "mesh", "emulator", "rehearsal", "verify"):
         shutil.copytree(ROOT / name, folder / name, ignore=shutil.ignore_patterns("__pycache__"))
     shutil.copy(ROOT / ".importlinter", folder)
     return folder
 
 
-def test_the_tree_keeps_its_arrows(tmp_path):
-    done = lint(copied(tmp_path))
+def test_the_tree_keeps_the_import_contracts(tmp_path):
+    done = run_lint(copy_tree(tmp_path))
     assert done.returncode == 0, done.stdout + done.stderr
 
 
-@pytest.mark.parametrize(("file", "line", "contract"), SEEDS)
-def test_a_wrong_import_is_found(tmp_path, file, line, contract):
-    tree = copied(tmp_path)
+@pytest.mark.parametrize(("file", "line", "contract"), FORBIDDEN_IMPORTS)
+def test_a_forbidden_import_is_found(tmp_path, file, line, contract):
+    tree = copy_tree(tmp_path)
     path = tree / file
     text = path.read_text(encoding="utf-8")
-    path.write_text(text.replace(FIRST, f"{FIRST}{line}\n"))
-    done = lint(tree)
+    path.write_text(text.replace(FUTURE_IMPORT, f"{FUTURE_IMPORT}{line}\n"))
+    done = run_lint(tree)
     broken = [row for row in done.stdout.splitlines() if row.endswith("BROKEN")]
     assert done.returncode == 1 and any(contract in row for row in broken), done.stdout
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -1,4 +1,4 @@
-"""What the sidecar believes of crowding, held against what passes on its sockets."""
+"""The overload estimate of a sidecar, tested over real sockets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def reporting(queue: float, serve: Script = ok) -> Script:
-    """A server that serves as told and reports so many waiting requests, true or not."""
+    """A server script that reports this queue length, whether true or not."""
 
     async def script(talk: Conversation, call: Call) -> None:
         if call.target == "/-/load":
@@ -21,7 +21,7 @@
 
 
 def pass_time(world: World, seconds: float) -> None:
-    """Let the module's clock run ahead: it averages over seconds, which no test should wait for."""
+    """Moves the balancer's clock forward, as its averages span seconds."""
     world.sidecar._clock._anchor += int(seconds * 1e9)
 
 
@@ -32,8 +32,8 @@
 )
 
 
-def test_queues_at_some_servers_refuse_nobody_while_others_stand_idle():
-    """Found: the mean over all servers asked took one slow server, or a wrong report, for a crowded fleet."""
+def test_queues_at_some_servers_shed_nothing_while_others_are_idle():
+    """A mean over all probed servers took one slow server or a wrong report for overload of the fleet."""
 
     async def scene():
         async with contextlib.AsyncExitStack() as stack:
@@ -48,9 +48,9 @@
     play(scene)
 
 
-def test_shedding_ends_soon_after_the_crowd_though_clients_storm():
-    """Found: crowding was averaged over calls offered. Where nearly all are shed and come again, the few that
-    still ask weighed nothing, and idle servers were spared for seconds."""
+def test_shedding_ends_soon_after_overload_despite_a_retry_storm():
+    """The overload level was averaged over the calls offered. When nearly all are shed and retried, the few
+    that still probe had no weight, and idle servers stayed unused for seconds."""
 
     async def scene():
         queue = [1]
@@ -68,46 +68,46 @@
             async with sidecar(*lines, raw=PROBED) as world:
                 client = await world.client()
 
-                async def refused(calls: int, gap: float) -> int:
+                async def count_refused(calls: int, gap: float) -> int:
                     found = 0
                     for _ in range(calls):
                         pass_time(world, gap)
                         found += (await client.ask())[0] == 503
                     return found
 
-                assert await refused(100, 0.5) > 50
+                assert await count_refused(100, 0.5) > 50
                 queue[0] = 0
-                await refused(1000, 0.02)  # three deadlines long
-                assert await refused(100, 0.02) < 20
+                await count_refused(1000, 0.02)  # three deadlines long
+                assert await count_refused(100, 0.02) < 20
 
     play(scene)
 
 
-def test_an_idle_server_is_asked_again_after_slow_answers():
-    """Found: one slow answer and some crowding elsewhere, and a server stood idle for seconds. As nothing was
-    sent to it, nothing better was learned, and the calls that had found it idle were held and refused."""
+def test_an_idle_server_is_used_again_after_slow_responses():
+    """After one slow response and some overload elsewhere a server stayed idle for seconds: nothing was sent
+    to it, so nothing better was learned, and calls that had found it idle were queued and refused."""
 
     async def scene():
         async with Server(reporting(0)) as server, sidecar(line("s1", server.port), raw=PROBED) as world:
             module = world.sidecar.core._module
-            known = module.book.servers["s1"]
-            known.stretch, known.seen, module.crowding.level = 9.0, world.sidecar._clock(), 0.7
+            known = module.state.servers["s1"]
+            known.slowdown, known.sampled_at, module.overload.level = 9.0, world.sidecar._clock(), 0.7
             client = await world.client()
             assert (await client.ask("guarded", Idempotency_Key="k"))[0] == 200
-            assert known.stretch < 9.0
+            assert known.slowdown < 9.0
 
     play(scene)
 
 
-def test_one_error_costs_no_server():
-    """Found: a single 500 put one of six servers out of service for half a second and longer."""
+def test_one_error_does_not_eject_a_server():
+    """A single status 500 took one of six servers out of service for half a second or longer."""
 
     async def scene():
-        fails = [True]
+        errors_left = [True]
 
         async def script(talk: Conversation, call: Call) -> None:
-            if fails and call.target != "/-/load":
-                fails.pop()
+            if errors_left and call.target != "/-/load":
+                errors_left.pop()
                 await talk.answer(500)
             else:
                 await reporting(0)(talk, call)
@@ -116,15 +116,15 @@
             lines = [line("s1", server.port), line("s2", other.port)]
             async with sidecar(*lines, raw=PROBED) as world:
                 client = await world.client()
-                while fails:
+                while errors_left:
                     assert (await client.ask())[0] == 200
-                assert world.sidecar.core._module.book.servers["s1"].k > 0
+                assert world.sidecar.core._module.state.servers["s1"].steps > 0
 
     play(scene)
 
 
-def test_a_request_on_a_silent_connection_goes_elsewhere_once_others_overtake_it():
-    """Found: it waited for its client's time to run out, while its server answered all that came later."""
+def test_a_request_overtaken_on_a_silent_connection_is_sent_elsewhere():
+    """It waited until its client timed out, while its server answered all later requests."""
 
     async def scene():
         hung = asyncio.Event()
@@ -148,8 +148,8 @@
     play(scene)
 
 
-def test_a_class_that_a_server_leaves_unanswered_goes_elsewhere():
-    """Found: half the servers never answered one class and looked well; probes went on choosing them."""
+def test_a_server_that_never_answers_a_class_is_ejected_for_it():
+    """Half of the servers never answered one class but looked healthy, so probes kept choosing them."""
 
     async def scene():
         hung = []
--- a/tests/test_growing.py
+++ b/tests/test_growing.py
@@ -1,79 +1,79 @@
-"""Requests whose bodies still come, as the module sees them."""
+"""Requests whose bodies have not arrived in full, as the balancer sees them."""
 
 from __future__ import annotations
 
 import random
 
-from build import MS, SECOND, accept, balancer, fleet, only, outcome
+from build import MS, SECOND, attempt_finished, balancer, fleet, of_type, request_arrived
 
 from dunefield import RefuseRequest, RequestArrived, SendAttempt
 from dunefield.interface import AttemptOutcome, BodyCompleted, BodyDiscarded, ProbeResult
 
 
-def growing(request_id: str, cls: int = 1) -> RequestArrived:
+def incomplete_request(request_id: str, cls: int = 1) -> RequestArrived:
     return RequestArrived(request_id, cls, SECOND, body_incomplete=True)
 
 
-def shed(slow: int, grown: bool) -> int:
-    """Of 400 small calls that are answered at once, how many are refused while `slow` bodies come."""
+def count_shed(slow: int, completed: bool) -> int:
+    """Returns how many of 400 small calls, answered at once, are refused during `slow` uploads."""
     made = balancer(40)
     now, draw = 0, random.Random(3)
     for number in range(slow):
-        assert only(made.handle(now, growing(f"g{number}")), SendAttempt)
-        if grown:
+        assert of_type(made.handle(now, incomplete_request(f"g{number}")), SendAttempt)
+        if completed:
             made.handle(now, BodyCompleted(f"g{number}"))
     refused = 0
     for number in range(400):
         now += int(5 * MS * draw.uniform(0.5, 1.5))
-        acts = made.handle(now, accept(f"c{number}"))
-        refused += len(only(acts, RefuseRequest))
-        for send in only(acts, SendAttempt):
-            made.handle(now + 2 * MS, outcome(send, latency_ns=2 * MS))
+        acts = made.handle(now, request_arrived(f"c{number}"))
+        refused += len(of_type(acts, RefuseRequest))
+        for send in of_type(acts, SendAttempt):
+            made.handle(now + 2 * MS, attempt_finished(send, latency_ns=2 * MS))
     return refused
 
 
-def test_bodies_that_still_come_do_not_pass_for_a_jam():
-    """Found: on a day of slow uploads a third of all that was refused was refused for them."""
-    assert shed(slow=14, grown=False) == 0
-    assert shed(slow=14, grown=True) > 0  # the same number at work is one
+def test_incomplete_bodies_do_not_count_as_overload():
+    """With slow uploads, a third of all refusals was due to them."""
+    assert count_shed(slow=14, completed=False) == 0
+    assert count_shed(slow=14, completed=True) > 0  # the same number being processed is overload
 
 
-def test_after_spent_a_failed_attempt_is_the_last_and_is_refused_with_when_to_come_back():
+def test_after_body_discarded_a_failed_attempt_is_refused_with_retry_after():
     made = balancer(4)
-    (send,) = only(made.handle(0, growing("g")), SendAttempt)
+    (send,) = of_type(made.handle(0, incomplete_request("g")), SendAttempt)
     made.handle(MS, BodyDiscarded("g"))
-    acts = made.handle(2 * MS, outcome(send, AttemptOutcome.CONNECT_FAILED, MS))
-    assert not only(acts, SendAttempt)
-    (refusal,) = only(acts, RefuseRequest)
+    acts = made.handle(2 * MS, attempt_finished(send, AttemptOutcome.CONNECT_FAILED, MS))
+    assert not of_type(acts, SendAttempt)
+    (refusal,) = of_type(acts, RefuseRequest)
     assert refusal.retry_after_ns > 0
 
 
-def test_before_spent_a_failed_attempt_is_followed_by_another():
+def test_before_body_discarded_a_failed_attempt_is_retried():
     made = balancer(4)
-    (send,) = only(made.handle(0, growing("g")), SendAttempt)
-    acts = made.handle(2 * MS, outcome(send, AttemptOutcome.CONNECT_FAILED, MS))
-    assert len(only(acts, SendAttempt)) == 1
+    (send,) = of_type(made.handle(0, incomplete_request("g")), SendAttempt)
+    acts = made.handle(2 * MS, attempt_finished(send, AttemptOutcome.CONNECT_FAILED, MS))
+    assert len(of_type(acts, SendAttempt)) == 1
 
 
-def test_spent_is_final_with_probes_as_well():
+def test_body_discarded_prevents_retries_with_probes():
     probes = {"how": "probe", "columns": ["inflight", "queue"]}
     made = balancer(4, reporting=probes, limits={"mayProbe": True})
-    made.handle(0, growing("g"))
+    made.handle(0, incomplete_request("g"))
     sends = []
     for server in [entry.server for entry in fleet(4).entries]:
-        sends += only(
+        sends += of_type(
             made.handle(MS, ProbeResult(server, AttemptOutcome.OK, MS, {"inflight": 0.0, "queue": 0.0})),
             SendAttempt,
         )
     assert len(sends) == 1
     made.handle(2 * MS, BodyDiscarded("g"))
-    acts = made.handle(3 * MS, outcome(sends[0], AttemptOutcome.RESET, MS))
-    assert not only(acts, SendAttempt) and not made.book.calls and not made.book.growing
+    acts = made.handle(3 * MS, attempt_finished(sends[0], AttemptOutcome.RESET, MS))
+    assert not of_type(acts, SendAttempt) and not made.state.calls and not made.state.incomplete
 
 
-def test_nothing_is_kept_of_a_call_that_ended_while_it_grew():
+def test_nothing_is_kept_of_a_call_that_ended_before_its_body_completed():
     made = balancer(4)
-    (send,) = only(made.handle(0, growing("g")), SendAttempt)
-    made.handle(2 * MS, outcome(send))
+    (send,) = of_type(made.handle(0, incomplete_request("g")), SendAttempt)
+    made.handle(2 * MS, attempt_finished(send))
     made.handle(3 * MS, BodyCompleted("g"))
-    assert not made.book.growing and not made.book.calls
+    assert not made.state.incomplete and not made.state.calls
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The rules, seen from outside: random legal histories, every repeat class, group and report mode."""
+"""The rules of retries and responses in random valid histories: every retry class, scope and report mode."""
 
 import random
 
@@ -9,8 +9,8 @@
 from world import World
 
 from dunefield import Balancer, FailRequest, RefuseRequest, SendAttempt, Settings
-from dunefield.promises import Promises
-from dunefield.ring import Ring
+from dunefield.promises import AttemptRules
+from dunefield.ring import ServerSubset
 from emulator.watch import Broken
 
 MODES = {
@@ -21,7 +21,7 @@
 }
 
 
-def site(mode: str, group: str) -> Settings:
+def make_settings(mode: str, scope: str) -> Settings:
     classes = [
         {
             "name": n,
@@ -30,7 +30,7 @@
             "repeat": n,
             "credit": 1.0 + i,
             "lateWorth": 0.3 * (i % 2),
-            "group": group,
+            "group": scope,
             "windowNs": 500 * MS,
         }
         for i, n in enumerate(["free", "single_shot", "guarded"])
@@ -39,8 +39,8 @@
 
 
 @given(st.sampled_from(sorted(MODES)), st.sampled_from(["all", "zone", "cell"]), st.integers(0, 2**32))
-def test_promises_hold(mode, group, seed):
-    world = World(Balancer, site(mode, group), seed)
+def test_the_rules_hold(mode, scope, seed):
+    world = World(Balancer, make_settings(mode, scope), seed)
     for _ in range(120):
         world.step()
     world.pass_time(3 * SECOND)
@@ -50,34 +50,34 @@
 def test_same_events_same_actions(mode, seed):
     logs = []
     for _ in range(2):
-        world = World(Balancer, site(mode, "zone"), seed)
+        world = World(Balancer, make_settings(mode, "zone"), seed)
         for _ in range(60):
             world.step()
         logs.append(world.log)
     assert logs[0] == logs[1]
 
 
-# --- each check can fail: the module broken by hand -------------------------------------------------
+# --- each check can fail: the balancer broken on purpose -------------------------------------------------
 
 
-def never_ends(self, call, hold_off):
-    self._book.drop(call.request_id)
+def never_responds(self, call, retry_after_ns):
+    self._state.drop(call.request_id)
 
 
-def ends_twice(self, call, hold_off):
-    self._book.drop(call.request_id)
-    self._book.acts += [FailRequest(call.request_id), FailRequest(call.request_id)]
+def responds_twice(self, call, retry_after_ns):
+    self._state.drop(call.request_id)
+    self._state.actions += [FailRequest(call.request_id), FailRequest(call.request_id)]
 
 
-def always_refuses(self, call, hold_off):
-    self._book.drop(call.request_id)
-    self._book.acts.append(RefuseRequest(call.request_id, 0))
+def always_refuses(self, call, retry_after_ns):
+    self._state.drop(call.request_id)
+    self._state.actions.append(RefuseRequest(call.request_id, 0))
 
 
 def sends_past_the_deadline(self, now, call, server, trial):
-    done = SEND(self, now, call, server, trial)
+    done = ORIGINAL_SEND(self, now, call, server, trial)
     if done:
-        self._book.acts[-1] = SendAttempt(call.request_id, server.name, call.deadline + SECOND)
+        self._state.actions[-1] = SendAttempt(call.request_id, server.name, call.deadline + SECOND)
     return done
 
 
@@ -85,29 +85,29 @@
     return True
 
 
-def keeps_drained(self, now, entry):
-    ENTER(self, now, entry._replace(lifecycle="up"))
+def keeps_draining_servers(self, now, entry):
+    ORIGINAL_UPDATE(self, now, entry._replace(lifecycle="up"))
 
 
-SEND, ENTER = Promises.send, Ring.enter
-BREAKS = [
-    (Promises, "end", never_ends, "no final answer"),
-    (Promises, "end", ends_twice, "second final answer"),
-    (Promises, "end", always_refuses, "untrue"),
-    (Promises, "send", sends_past_the_deadline, "outlive"),
-    (Promises, "may_go", goes_anywhere, "may run twice|outside its group|more attempts|after the end"),
-    (Ring, "enter", keeps_drained, "draining, gone or unlisted"),
+ORIGINAL_SEND, ORIGINAL_UPDATE = AttemptRules.send, ServerSubset.update_server
+FAULTS = [
+    (AttemptRules, "finish", never_responds, "no final answer"),
+    (AttemptRules, "finish", responds_twice, "second final answer"),
+    (AttemptRules, "finish", always_refuses, "untrue"),
+    (AttemptRules, "send", sends_past_the_deadline, "outlive"),
+    (AttemptRules, "may_send", goes_anywhere, "may run twice|outside its group|more attempts|after the end"),
+    (ServerSubset, "update_server", keeps_draining_servers, "draining, gone or unlisted"),
 ]
 
 
-@pytest.mark.parametrize(("part", "name", "broken", "message"), BREAKS, ids=[b[2].__name__ for b in BREAKS])
-def test_a_broken_module_is_caught(monkeypatch, part, name, broken, message):
+@pytest.mark.parametrize(("part", "name", "broken", "message"), FAULTS, ids=[b[2].__name__ for b in FAULTS])
+def test_a_broken_balancer_is_caught(monkeypatch, part, name, broken, message):
     monkeypatch.setattr(part, name, broken)
     picker = random.Random(1)
     with pytest.raises(Broken, match=message):
         for seed in range(60):
-            mode, group = picker.choice(["blind", "priced"]), picker.choice(["zone", "cell"])
-            world = World(Balancer, site(mode, group), seed)
+            mode, scope = picker.choice(["blind", "priced"]), picker.choice(["zone", "cell"])
+            world = World(Balancer, make_settings(mode, scope), seed)
             for _ in range(120):
                 world.step()
             world.pass_time(3 * SECOND)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""What servers may send the sidecar: spoilt answers, more than was asked for, and load reports."""
+"""Responses from servers: malformed, with extra data, and with load reports."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from hollyport.nodes.upstream import Upstream
 from hollyport.settings.config import Address
 
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
+VALID_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
 
-def says(*parts: bytes):
+def sends(*parts: bytes):
     async def script(talk: Conversation, call: Call) -> None:
         for part in parts:
             talk.writer.write(part)
@@ -40,15 +40,15 @@
                 "s1",
                 lambda: b"GET / HTTP/1.1\r\nHost: s\r\n\r\n",
                 15.0,
-                lambda how, reply, done=done: done.set_result((how, reply)),
+                lambda outcome, reply, done=done: done.set_result((outcome, reply)),
             ).start()
-            how, reply = await done
-            found.append((how, reply.body if reply is not None else b""))
+            outcome, reply = await done
+            found.append((outcome, reply.body if reply is not None else b""))
     return found, server
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\xcf\xe7LaO\x99\xdbq\r\n\r\n",
         b"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood",
@@ -66,11 +66,11 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
     ],
 )
-def test_a_spoilt_answer_is_known_early_and_blames_nobody(spoilt):
-    """Found: waited for until the client's time was up, or told as a reset, which halves a budget."""
+def test_a_malformed_response_is_detected_early_and_not_counted_as_a_reset(malformed):
+    """It was waited for until the client's timeout, or reported as a reset, which halves a budget."""
 
     async def scene():
-        found, _ = await outcomes(says(spoilt), stall_s=0.2)
+        found, _ = await outcomes(sends(malformed), stall_s=0.2)
         assert found == [(AttemptOutcome.CANCELLED, b"")]
 
     play(scene)
@@ -79,17 +79,23 @@
 @pytest.mark.parametrize(
     ("parts", "connections"),
     [
-        ((GOOD + GOOD,), 2),
-        ((GOOD + b"\x00\xffnoise\r\n\r\n",), 2),
-        ((b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + GOOD,), 1),
+        ((VALID_RESPONSE + VALID_RESPONSE,), 2),
+        ((VALID_RESPONSE + b"\x00\xffnoise\r\n\r\n",), 2),
+        (
+            (
+                b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
+                + VALID_RESPONSE,
+            ),
+            1,
+        ),
         ((b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n",), 1),
-        ((GOOD[:20], GOOD[20:50], GOOD[50:]), 1),
+        ((VALID_RESPONSE[:20], VALID_RESPONSE[20:50], VALID_RESPONSE[50:]), 1),
         ((b"HTTP/1.1 200 OK\r\nContent-Length: 4 \t \r\n\r\ngood",), 1),
         ((b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n4;x=1\r\ngood\r\n0\r\nX-T: 1\r\n\r\n",), 1),
     ],
 )
-def test_a_good_answer_is_served_whatever_follows_it(parts, connections):
-    """Found: noise behind a good answer turned it into a reset. What follows answers nobody."""
+def test_a_valid_response_is_served_whatever_follows_it(parts, connections):
+    """Noise after a valid response turned it into a reset."""
 
     async def scene():
         async def script(talk: Conversation, call: Call) -> None:
@@ -103,20 +109,20 @@
     play(scene)
 
 
-def test_an_answer_larger_than_promised_is_served():
-    """Found: real answers of 350 KB were taken for spoilt, a fifth of all."""
+def test_a_response_of_350_kb_is_served():
+    """Real responses of 350 KB, a fifth of all, were rejected as malformed."""
 
     async def scene():
         body = b"x" * 350_000
-        found, _ = await outcomes(says(b"HTTP/1.1 200 OK\r\nContent-Length: 350000\r\n\r\n" + body))
+        found, _ = await outcomes(sends(b"HTTP/1.1 200 OK\r\nContent-Length: 350000\r\n\r\n" + body))
         assert found == [(AttemptOutcome.OK, body)]
 
     play(scene)
 
 
-def test_a_spoilt_answer_is_repeated_only_if_free():
+def test_a_malformed_response_is_retried_only_if_the_class_allows():
     async def scene():
-        noise = says(b"\xcf\xe7LaO\x99\xdbq\r\n\r\n")
+        noise = sends(b"\xcf\xe7LaO\x99\xdbq\r\n\r\n")
         for cls, expected in (("single_shot", (502, 1)), ("free", (503, 2))):
             async with Server(noise) as bad, sidecar(line("s1", bad.port), line("s2", bad.port)) as world:
                 status, _, _ = await (await world.client()).ask(cls)
@@ -139,14 +145,14 @@
         b"{" * 5000,
     ],
 )
-def test_a_load_report_that_cannot_be_one_is_dropped_whole(text):
-    """It would draw all calls to one server, or keep them away."""
+def test_an_invalid_load_report_is_dropped_entirely(text):
+    """It would attract all calls to one server, or none."""
     assert load(text) == {}
     assert load(b'{"inflight": 2, "queue": 0.5, "note": "x"}') == {"inflight": 2.0, "queue": 0.5}
 
 
-def test_a_connection_lost_before_its_task_resumes_does_not_count_for_good(monkeypatch):
-    """Found on reading: the count leaked until no room was left."""
+def test_a_connection_lost_before_its_task_resumes_is_not_counted_as_open(monkeypatch):
+    """The count of open connections leaked until no more were allowed."""
 
     async def scene():
         loop = asyncio.get_running_loop()
@@ -166,15 +172,15 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "how"),
+    ("error", "outcome"),
     [
         (OSError(24, "too many open files"), AttemptOutcome.MOOT),
         (ConnectionRefusedError(), AttemptOutcome.CONNECT_FAILED),
         (ValueError("odd"), AttemptOutcome.CONNECT_FAILED),
     ],
 )
-def test_every_failed_connect_ends_its_attempt_and_own_want_blames_nobody(monkeypatch, capfd, error, how):
-    """Found: EMFILE was told as a failed connect, and muted healthy servers one after the other."""
+def test_failed_connects_end_the_attempt_and_own_limits_blame_no_server(monkeypatch, capfd, error, outcome):
+    """EMFILE was reported as a failed connect, and ejected healthy servers one after the other."""
 
     async def scene():
         upstream = Upstream(asyncio.get_running_loop(), 10**9, 10**10, 10, 0.0, HttpBack(False))
@@ -185,13 +191,13 @@
 
         monkeypatch.setattr(upstream, "connect", fails)
         done = asyncio.get_running_loop().create_future()
-        upstream.exchange("s1", lambda: b"", 5.0, lambda how, _: done.set_result(how)).start()
-        assert await done is how
+        upstream.exchange("s1", lambda: b"", 5.0, lambda outcome, _: done.set_result(outcome)).start()
+        assert await done is outcome
 
     play(scene)
 
 
-def test_closing_with_unsent_bytes_to_a_silent_peer_comes_to_an_end():
+def test_closing_with_unsent_bytes_to_a_silent_peer_completes():
     async def scene():
         listening = socket.create_server(("127.0.0.1", 0))
         lost = asyncio.Event()
@@ -206,8 +212,8 @@
     play(scene)
 
 
-def test_probes_of_one_server_are_shared_by_the_calls_that_wait():
-    """Found: a probe for each call and server; in a storm probes fed on themselves."""
+def test_waiting_calls_share_the_probe_of_a_server():
+    """Each call sent its own probe to each server, so in a retry storm probes caused more load."""
 
     async def scene():
         go, probes = asyncio.Event(), []
@@ -233,24 +239,24 @@
     play(scene)
 
 
-def test_the_pace_of_the_wire_is_no_work_of_the_servers():
-    """Found: answers that came in slow pieces passed for servers that are crowded."""
+def test_slow_transfer_does_not_count_as_server_latency():
+    """Responses that arrived in slow pieces made servers look overloaded."""
 
     async def scene():
         async def script(talk: Conversation, call: Call) -> None:
-            talk.writer.write(GOOD[:-2])
+            talk.writer.write(VALID_RESPONSE[:-2])
             await asyncio.sleep(0.4)
-            talk.writer.write(GOOD[-2:])
+            talk.writer.write(VALID_RESPONSE[-2:])
 
         async with Server(script) as server, sidecar(line("s1", server.port)) as world:
-            lags, plain = [], world.sidecar.core._module.handle
+            latencies, original = [], world.sidecar.core._module.handle
 
             def handle(now, event):
-                lags.extend([event.latency_ns] if hasattr(event, "attempt") else [])
-                return plain(now, event)
+                latencies.extend([event.latency_ns] if hasattr(event, "attempt") else [])
+                return original(now, event)
 
             world.sidecar.core._module.handle = handle
             assert (await (await world.client()).ask())[0] == 200
-            assert len(lags) == 1 and lags[0] < 0.35e9
+            assert len(latencies) == 1 and latencies[0] < 0.35e9
 
     play(scene)
--- a/tests/test_wire_rows.py
+++ b/tests/test_wire_rows.py
@@ -1,4 +1,4 @@
-"""Every row of the wire page: what comes in reaches the module, and what it decides goes out."""
+"""The wire protocol: every event reaches the balancer, and every action is written."""
 
 import io
 import json
@@ -37,23 +37,23 @@
 
 
 class Recorder:
-    """Stands in for the module: keeps what it is handed and answers with the actions given."""
+    """Replaces Balancer: records events and returns the given actions."""
 
-    seen: list = []
-    answer: list = []
+    events: list = []
+    actions: list = []
 
     def __init__(self, settings, seed, now):
         Recorder.made = (settings, seed, now)
 
     def handle(self, now, event):
-        Recorder.seen.append((now, event))
-        return Recorder.answer
+        Recorder.events.append((now, event))
+        return Recorder.actions
 
 
 @pytest.fixture
-def talk(monkeypatch):
+def run_lines(monkeypatch):
     monkeypatch.setattr(adapter, "Balancer", Recorder)
-    Recorder.seen, Recorder.answer = [], []
+    Recorder.events, Recorder.actions = [], []
 
     def run(*lines, at=5):
         out = io.StringIO()
@@ -90,25 +90,25 @@
         ("directory_update who=0 scope=FAILED gen=3", ServerListUpdate("FAILED", (), 3)),
     ],
 )
-def test_events_come_in(talk, line, event):
-    assert talk(line) == ["next"]
-    assert Recorder.seen == [(5, event)]
+def test_events_are_read(run_lines, line, event):
+    assert run_lines(line) == ["next"]
+    assert Recorder.events == [(5, event)]
 
 
 @pytest.mark.parametrize("scope", ["INCREMENTAL", "FULL", "SAVED"])
-def test_lists_come_in(talk, scope):
-    talk(
+def test_server_lists_are_read(run_lines, scope):
+    run_lines(
         "roster slot=3 nodesList=2",
         SERVER,
         "server server=b:1",
         f"directory_update who=0 scope={scope} gen=41 slot=3",
     )
     entries = (ServerEntry("a:1", 2, 3, 4, "draining", 1.5, 600), ServerEntry("b:1"))
-    assert Recorder.seen == [(5, ServerListUpdate(scope, entries, 41))]
+    assert Recorder.events == [(5, ServerListUpdate(scope, entries, 41))]
 
 
-def test_a_new_roster_takes_the_number_of_an_old_one(talk):
-    talk(
+def test_a_new_roster_replaces_one_in_the_same_slot(run_lines):
+    run_lines(
         "roster slot=0 nodesList=1",
         "server server=a:1",
         "directory_update who=0 scope=FULL slot=0",
@@ -116,11 +116,11 @@
         "server server=b:1",
         "directory_update who=0 scope=FULL slot=0",
     )
-    assert [event.entries[0].server for _, event in Recorder.seen] == ["a:1", "b:1"]
+    assert [event.entries[0].server for _, event in Recorder.events] == ["a:1", "b:1"]
 
 
-def test_seed_and_clock_come_in(talk):
-    talk(at=9)
+def test_seed_and_clock_are_read(run_lines):
+    run_lines(at=9)
     assert Recorder.made[1:] == (7, 9)
 
 
@@ -142,19 +142,19 @@
         (StartTimer(5, 7), "defer who=0 inNs=5 tag=7"),
     ],
 )
-def test_actions_go_out(talk, action, line):
-    Recorder.answer = [action]
-    assert talk("alarm who=0 tag=1") == [line, "next"]
+def test_actions_are_written(run_lines, action, line):
+    Recorder.actions = [action]
+    assert run_lines("alarm who=0 tag=1") == [line, "next"]
 
 
-def test_a_failing_decision_gives_in(talk, capsys):
-    Recorder.answer = None  # not a list: as good as any mistake in the module
-    out = talk("alarm who=0 tag=1")
+def test_an_exception_in_the_balancer_is_written_as_give_in(run_lines, capsys):
+    Recorder.actions = None  # not a list: stands for any bug in the balancer
+    out = run_lines("alarm who=0 tag=1")
     assert out[0].startswith("give_in who=0 line=TypeError") and out[1:] == ["next"]
     assert "Traceback" in capsys.readouterr().err
 
 
-SET = {
+SETTINGS = {
     "classes": [
         {
             "name": "c",
@@ -274,8 +274,8 @@
         ("limits.max_streams_per_connection", 8),
     ],
 )
-def test_settings_come_in(path, value):
-    found = Settings.parse(SET)
+def test_settings_are_parsed(path, value):
+    found = Settings.parse(SETTINGS)
     for step in path.split("."):
         found = found[int(step)] if step.isdigit() else getattr(found, step)
     assert found == value
@@ -304,12 +304,12 @@
         ({"discovery": 4}, "discovery"),
     ],
 )
-def test_unusable_settings_name_the_key(change, key):
+def test_invalid_settings_name_the_key(change, key):
     with pytest.raises(SettingsError) as caught:
         Settings.parse({**ENV, **change})
     assert key in str(caught.value)
 
 
-def test_settings_that_are_no_object():
+def test_settings_must_be_an_object():
     with pytest.raises(SettingsError):
         Settings.parse([])
--- a/tests/values.py
+++ b/tests/values.py
@@ -48,9 +48,9 @@
 structs = fields(values)
 
 
-def write_struct(out, told):
+def write_struct(out, struct):
     out.writeStructBegin("")
-    for number, (kind, value) in told.items():
+    for number, (kind, value) in struct.items():
         out.writeFieldBegin("", kind, number)
         write(out, kind, value)
         out.writeFieldEnd()
@@ -88,22 +88,22 @@
     return TBinaryProtocol(memory, strictRead=False, strictWrite=strict), memory
 
 
-def reading(name, data):
+def apache_reader(name, data):
     memory = TMemoryBuffer(bytes(data))
     return TCompactProtocol(memory) if name == "compact" else TBinaryProtocol(memory)
 
 
-def message(name, told, method="push", seqid=7, kind=TMessageType.CALL, strict=True):
+def message(name, struct, method="push", seqid=7, kind=TMessageType.CALL, strict=True):
     out, memory = protocol(name, strict)
     out.writeMessageBegin(method, kind, seqid)
-    write_struct(out, told)
+    write_struct(out, struct)
     out.writeMessageEnd()
     return memory.getvalue()
 
 
-def peer_skips(name, data):
+def apache_message_end(name, data):
     """Whether Apache's library reads a message there, and where it ends."""
-    source = reading(name, data)
+    source = apache_reader(name, data)
     source.readString = source.readBinary  # texts and bytes are one type: it would only skip what is UTF-8
     try:
         _, kind, _ = source.readMessageBegin()
