--- a/benchmarks/mesh_metrics.py
+++ b/benchmarks/mesh_metrics.py
@@ -16,7 +16,7 @@
 
 from mesh.errors import ErrorKind
 from mesh.proxy.request_counts import RequestCounts
-from mesh.transport.metrics_server import process_figures, render
+from mesh.transport.metrics_server import process_metrics, render
 
 MICROSECOND = 1e-6
 
@@ -50,7 +50,7 @@
     """Processor seconds of one scrape, and the bytes that it tells."""
     began, size = time.process_time(), 0
     for _ in range(scrapes):
-        size = len(render([*process_figures(), *counts.figures()]))
+        size = len(render([*process_metrics(), *counts.metrics()]))
     return (time.process_time() - began) / scrapes, size
 
 
@@ -67,7 +67,7 @@
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     began = time.process_time()
-    render(process_figures())
+    render(process_metrics())
     first_s = time.process_time() - began
     one_scrape_s, size = scrape_s(counts, told.scrapes)
     one_request_s = counting_s(counts, told.routes, told.requests)
--- a/mesh/__main__.py
+++ b/mesh/__main__.py
@@ -91,9 +91,9 @@
         part = Sidecar(told)
     await part.start()
     if metrics:
-        from mesh.transport.metrics_server import open_metrics
+        from mesh.transport.metrics_server import start_metrics_server
 
-        await open_metrics(told.ip, metrics, part.figures)
+        await start_metrics_server(told.ip, metrics, part.figures)
     gc.freeze()
     gc.enable()
     following = loop.create_task(_follow(part, path, again))
@@ -107,10 +107,10 @@
 
     told = _settings(file)
     if metrics:
-        from mesh.transport.metrics_server import read_place
+        from mesh.transport.metrics_server import parse_port_path
 
         try:
-            read_place(metrics)
+            parse_port_path(metrics)
         except ValueError as error:
             print(f"--metrics: {error}", file=sys.stderr)
             sys.exit(2)
--- a/mesh/control/agreement.py
+++ b/mesh/control/agreement.py
@@ -35,7 +35,7 @@
     Prepare,
     PrepareAnswer,
     checksum,
-    intact,
+    matches_checksum,
 )
 
 ROUND_S = 0.4  # how long a round waits: the operator waits a second, and a change takes two
@@ -220,7 +220,7 @@
         heard: dict[str, FetchAnswer] = {}
 
         def take(name: str, answer: FetchAnswer) -> bool:
-            if not intact(answer.items, answer.checksum):
+            if not matches_checksum(answer.items, answer.checksum):
                 return False
             yes = answer.yes and answer.epoch == voters.epoch
             self.learn(answer.items, answer.sequence)
@@ -232,7 +232,7 @@
         number, made = rounds.open(need, len(links), ROUND_S, take)
         packed = pack(Fetch(number, voters.epoch, sealed, self.copy.packed_buckets()))
         for link in links:
-            link.put(packed)
+            link.send_packed(packed)
         try:
             return heard if await made.enough() else None
         finally:
@@ -244,7 +244,7 @@
             return False
 
         def take(name: str, answer: FetchAnswer) -> bool:
-            if not intact(answer.items, answer.checksum):
+            if not matches_checksum(answer.items, answer.checksum):
                 return False
             self.learn(answer.items, answer.sequence)
             return True
@@ -352,7 +352,7 @@
         mine = Promise(self.replica.sequence, self.replica.open)
         packed = pack(Prepare(number, voters.epoch, ballot, self.copy.packed_buckets()))
         for link in links:
-            link.put(packed)
+            link.send_packed(packed)
         if own and not self._promise(voters.epoch, ballot, promised):
             made.no(me)
         try:
@@ -404,7 +404,7 @@
         self._turn.over(ballot.who)
         packed = pack(Abandon(ballot.who))
         for link in self._peers.of(voters):
-            link.put(packed)
+            link.send_packed(packed)
 
     async def finish(self) -> None:
         """Finish what was accepted here and has been open for too long: its proposer may have ended after it
--- a/mesh/control/controller.py
+++ b/mesh/control/controller.py
@@ -84,7 +84,7 @@
             messages.Fetch: agreement.answer_fetch,
             messages.FetchGrants: self.recovery.answer_grants,
             messages.Hello: self.peers.hear_hello,
-            messages.Forgotten: lambda link, told: self.peers.live_on(told.life),
+            messages.Forgotten: lambda link, told: self.peers.live_on(told.incarnation),
             messages.Bid: elections.answer,
             messages.Seal: elections.answer,
             messages.AskView: elections.answer_view,
--- a/mesh/control/heartbeats.py
+++ b/mesh/control/heartbeats.py
@@ -64,7 +64,7 @@
             del self._sent[next(iter(self._sent))]
         packed = pack(Heartbeat(number, self._context.voters.epoch))
         for link in links:
-            link.put(packed)
+            link.send_packed(packed)
 
     def answer(self, link: PeerConnection, asked: Heartbeat) -> None:
         """Another controller asks."""
--- a/mesh/control/key_grants.py
+++ b/mesh/control/key_grants.py
@@ -76,7 +76,7 @@
 
     def _grant(self, link: PeerConnection, asked: ClaimKey) -> None:
         now, key, token = self._context.wall(), asked.key, asked.token
-        grant, fresh = self.registry.claim(now, key, token, asked.left_s)
+        grant, fresh = self.registry.claim(now, key, token, asked.remaining_s)
         if grant.token != token or grant.mark != Mark.CLAIMED:
             link.send(ClaimAnswer(asked.claim, ANOTHERS, grant.token, int(grant.mark), grant.answer))
             return
--- a/mesh/control/peers.py
+++ b/mesh/control/peers.py
@@ -11,7 +11,7 @@
 from mesh.control.context import Context
 from mesh.settings import Address
 from mesh.state.quorum import Voters
-from mesh.transport.connection import Dial, PeerConnection, pack
+from mesh.transport.connection import Dialer, PeerConnection, pack
 from mesh.transport.messages import Controllers, Forgotten, Hello, Message
 
 MOST_FORGOTTEN = 256
@@ -45,7 +45,7 @@
         self.zones: dict[str, str] = {}  # by controller: the zone that it has told
         self.whole_first: set[str] = set()  # those that told that they are whole, with no voters named yet
         self.newest_at = context.loop.time()  # when a new one was heard of last
-        self._dials: dict[str, Dial] = {}
+        self._dials: dict[str, Dialer] = {}
         self._lives: dict[str, int] = {}  # the latest life that was heard of, 0 for an older version
         self._forgotten: dict[str, int] = {}  # the life that is over
         self._old: set[str] = set()  # of a version that knows no epochs
@@ -103,7 +103,7 @@
         """Tell all of them something."""
         packed = pack(message)
         for link in self.linked.values():
-            link.put(packed)
+            link.send_packed(packed)
 
     def _changed(self) -> None:
         self.send_hello()
@@ -128,7 +128,7 @@
             return
         self.newest_at = self._context.loop.time()
         self.watch.known(self.newest_at, address)
-        self._dials[address] = Dial(
+        self._dials[address] = Dialer(
             Address.read(address),
             self._events.hear,
             lambda link: self._up(address, link),
@@ -153,22 +153,22 @@
 
     def hear_hello(self, link: PeerConnection, told: Hello) -> None:
         """Another controller says who it is, who votes and whom it knows."""
-        address, life = told.address, told.lives.get(told.address, 0)
+        address, life = told.address, told.incarnations.get(told.address, 0)
         self.epochs[address], self.zones[address] = told.voters.epoch, told.zone
-        if told.whole != self.whole_epochs.get(address) and address in self.linked:
+        if told.caught_up_epoch != self.whole_epochs.get(address) and address in self.linked:
             self._events.may_count([self.linked[address]])
-        self.whole_epochs[address] = told.whole
-        if told.whole == 1 and not told.voters.epoch:
+        self.whole_epochs[address] = told.caught_up_epoch
+        if told.caught_up_epoch == 1 and not told.voters.epoch:
             self.whole_first.add(address)
-        (self._old.add if told.whole < 0 else self._old.discard)(address)
+        (self._old.add if told.caught_up_epoch < 0 else self._old.discard)(address)
         over = self._forgotten.get(address, -1)
         if life <= over:
             link.send(Forgotten(over))
         self.know(address, life, itself=True)
         if address in self._dials and address not in self.linked:
-            self._dials[address].hurry()
+            self._dials[address].retry_now()
         for other in told.controllers:
-            self.know(other, told.lives.get(other, 0))
+            self.know(other, told.incarnations.get(other, 0))
         for other, gone in told.forgotten.items():
             self._hear_forgotten(other, gone)
         self._events.learn_voters(told.voters, told.voters_before)
--- a/mesh/control/publisher.py
+++ b/mesh/control/publisher.py
@@ -83,7 +83,7 @@
         """Tell all sidecars something."""
         packed = pack(message)
         for link in self._sidecars:
-            link.put(packed)
+            link.send_packed(packed)
 
     # --- sidecars
 
@@ -95,12 +95,12 @@
             self._old.add(link)
         self._sidecars[link] = record.node
         known = self._records.get(record.node)
-        if fresh and known is not None and known.life > record.life:
-            link.send(NewerLifeKnown(known.life))
+        if fresh and known is not None and known.incarnation > record.incarnation:
+            link.send(NewerLifeKnown(known.incarnation))
         news = known is None or record.order > known.order
         if news:
             self._records[record.node] = record
-            self._digest.take(record.node, record.life, record.number)
+            self._digest.take(record.node, record.incarnation, record.number)
         if told.version >= VERSION_WITH_RECORDS_DIGEST:
             self._take_digests.add(link)
         if fresh:
@@ -120,7 +120,7 @@
             link.send(messages.RecordsDigest(self._digest.value))  # one told before may be lost with its link
         if version < VERSION_THAT_FOLLOWS:
             self._followers.add(link)
-            link.put(self._packed_whole())
+            link.send_packed(self._packed_whole())
             link.send(self._endpoints())
         elif self._heartbeats.told:
             link.send(Digest(self._agreement.copy.digest))
@@ -138,7 +138,7 @@
         packed = pack(Endpoints(records))
         for link in self._sidecars:
             if link in self._followers or link not in self._take_digests:
-                link.put(packed)
+                link.send_packed(packed)
         if not self._digest_due:
             self._digest_due = True
             self._context.loop.call_later(DIGEST_S, self._tell_digest)
@@ -147,7 +147,7 @@
         self._digest_due = False
         packed = pack(messages.RecordsDigest(self._digest.value))
         for link in self._take_digests - self._followers:
-            link.put(packed)
+            link.send_packed(packed)
 
     def pull_records(self, link: PeerConnection, asked: PullRecords) -> None:
         """A sidecar that follows another controller asks for all records."""
@@ -161,11 +161,11 @@
         self._take_digests.discard(link)
         record = self._records.get(node) if node is not None else None
         if record is not None:
-            self._context.loop.call_later(FORGET_S, self._forget, record.node, record.life)
+            self._context.loop.call_later(FORGET_S, self._forget, record.node, record.incarnation)
 
     def _forget(self, node: str, life: int) -> None:
         record = self._records.get(node)
-        if record is None or record.life != life or node in self._sidecars.values():
+        if record is None or record.incarnation != life or node in self._sidecars.values():
             return
         del self._records[node]
         self._digest.drop(node)
@@ -182,7 +182,7 @@
         self._number += 1
         packed, digest = self._packed(items), pack(Digest(self._agreement.copy.digest))
         for link in self._sidecars:
-            link.put(packed if link in self._followers else digest)
+            link.send_packed(packed if link in self._followers else digest)
 
     def _packed(self, items: Iterable[Item]) -> bytes:
         rows = tuple(items)
@@ -203,7 +203,7 @@
         self._followers.add(link)
         link.send(self._endpoints())
         if not told.digest:
-            link.put(self._packed_whole())
+            link.send_packed(self._packed_whole())
         else:
             link.send(Digest(self._agreement.copy.digest))
 
@@ -213,7 +213,7 @@
             return
         lacking = self._agreement.lacking(asked.buckets)
         whole = len(lacking) == len(self._agreement.copy.items)
-        link.put(self._packed_whole() if whole else self._packed(lacking))
+        link.send_packed(self._packed_whole() if whole else self._packed(lacking))
 
     def received(self, link: PeerConnection, told: ItemsReceived) -> None:
         """A sidecar acknowledges what it was told."""
--- a/mesh/control/recovery.py
+++ b/mesh/control/recovery.py
@@ -21,7 +21,7 @@
 from mesh.state.idempotency import FREED_S, GrantSnapshot
 from mesh.state.quorum import Voters
 from mesh.transport.connection import PeerConnection
-from mesh.transport.messages import FetchGrants, GrantsAnswer, checksum, intact
+from mesh.transport.messages import FetchGrants, GrantsAnswer, checksum, matches_checksum
 
 GATHER_S = 0.4  # nobody new for so long: the first voters are all there
 PART_S = 1.0  # how long one part of the grants is waited for
@@ -162,7 +162,7 @@
             answer = await self._fetch_part(link, epoch, sealed, part)
             if answer is None or not answer.yes or answer.epoch != epoch:
                 return False
-            if not intact(answer.rows, answer.checksum):
+            if not matches_checksum(answer.rows, answer.checksum):
                 return False
             self._grants.registry.take(self._context.wall(), answer.rows)
             self._context.member.heard(epoch, answer.promised)
--- a/mesh/proxy/body_receiver.py
+++ b/mesh/proxy/body_receiver.py
@@ -44,28 +44,28 @@
         give_back: Callable[[PeerConnection, int, Call], None],
     ) -> None:
         self._context, self._complete, self._give_back = context, complete, give_back
-        self.intake: Intake[CallId] = Intake(context.settings.link_mbps * LINK_BYTES_PER_MBIT)
+        self.receive_window: Intake[CallId] = Intake(context.settings.link_mbps * LINK_BYTES_PER_MBIT)
         self.bodies: dict[CallId, IncomingBody] = {}
 
     def way_s(self, size: int) -> float:
         """Seconds until a body of this size would be here, about; 0 for one that goes with its call."""
-        return self.intake.wait(size) if size > self.intake.inline else 0.0
+        return self.receive_window.wait(size) if size > self.receive_window.inline_limit else 0.0
 
     def fetch(self, link: PeerConnection, number: int, call: Call, limit_s: float) -> None:
         """Have a body sent. One that can't be here within `limit_s` is given back at once: where more comes
         than the link carries all would else be late, and what is given back has cost the link nothing yet."""
         now, call_id = self._context.now(), (link, number)
-        if self.intake.wait(call.size) > limit_s:
+        if self.receive_window.wait(call.size) > limit_s:
             self._give_back(link, number, call)
             return
         self.bodies[call_id] = IncomingBody(call, now)
         self._context.open_calls += 1
-        self.intake.add(now, call_id, call.size)
-        self._context.loop.call_later(limit_s, self.overtaken, call_id)
-        self._context.loop.call_later(call.left_s, self.overtaken, call_id, True)
+        self.receive_window.add(now, call_id, call.size)
+        self._context.loop.call_later(limit_s, self.expire, call_id)
+        self._context.loop.call_later(call.remaining_s, self.expire, call_id, True)
         self._grant()
 
-    def overtaken(self, call_id: CallId, at_last: bool = False) -> None:
+    def expire(self, call_id: CallId, at_last: bool = False) -> None:
         """A body of which little is here though its time is up: smaller ones have gone before it. At last it
         is given back whatever is here: its sender keeps it until it is told."""
         body = self.bodies.get(call_id)
@@ -77,7 +77,7 @@
 
     def _grant(self) -> None:
         """Have senders send what the link can take."""
-        for (link, number), upto in self.intake.grants(self._context.now()).items():
+        for (link, number), upto in self.receive_window.grants(self._context.now()).items():
             if link is not None:
                 link.send(SendBody(number, upto))
 
@@ -88,7 +88,7 @@
         if body is None:
             return
         body.chunks.append(told.data)
-        if not self.intake.got(now, call_id, len(told.data)):
+        if not self.receive_window.got(now, call_id, len(told.data)):
             self._grant()
             return
         self.drop(call_id)
@@ -96,8 +96,8 @@
         whole = msgspec.structs.replace(
             call,
             body=b"".join(body.chunks),
-            left_s=call.left_s - took_s,
-            aim_s=call.aim_s - took_s,
+            remaining_s=call.remaining_s - took_s,
+            target_s=call.target_s - took_s,
             size=0,
         )
         self._complete(link, told.number, whole)
@@ -111,11 +111,11 @@
         if self.bodies.pop(call_id, None) is None:
             return False
         self._context.open_calls -= 1
-        self.intake.drop(call_id)
+        self.receive_window.drop(call_id)
         self._grant()
         return True
 
-    def link_lost(self, link: PeerConnection) -> None:
+    def on_connection_lost(self, link: PeerConnection) -> None:
         """The connection to a sender has ended."""
         for call_id in [call_id for call_id in self.bodies if call_id[0] is link]:
             self.drop(call_id)
--- a/mesh/proxy/call_runner.py
+++ b/mesh/proxy/call_runner.py
@@ -67,7 +67,7 @@
         """How a call would fare here."""
         queue, way_s = self._queue, self.bodies.way_s(size)
         return LoadReport(
-            number, queue.takes_calls(), queue.wait(), queue.pace(route), way_s, queue.failing()
+            number, queue.takes_calls(), queue.wait(), queue.pace(route), way_s, queue.failure_rate()
         )
 
     def _run_remote(self, link: PeerConnection, number: int, call: Call) -> None:
@@ -84,15 +84,15 @@
         of calls that fail here of late."""
         queue = self._queue
         return msgspec.structs.replace(
-            answer, wait_s=queue.wait(), work_s=queue.pace(route), failing=queue.failing()
+            answer, wait_s=queue.wait(), work_s=queue.pace(route), failure_rate=queue.failure_rate()
         )
 
     # --- what this sidecar's own requests ask
 
     @property
-    def inline(self) -> int:
+    def inline_limit(self) -> int:
         """Bytes of a body that goes with its call."""
-        return self.bodies.intake.inline
+        return self.bodies.receive_window.inline_limit
 
     def run_local(self, number: int, call: Call, answered: Answered, overdue: Callable[[], None]) -> None:
         """Run a call that began here."""
@@ -120,12 +120,12 @@
         ended = partial(self._ended, call, call_id, token, answered)
         now = context.now()
         due, last = self._latest_starts(now, call)
-        job = Job(_maker(call), call.attempt, now + call.left_s, due, last, ended, call.route)
+        job = Job(_maker(call), call.attempt_id, now + call.remaining_s, due, last, ended, call.route)
         job.priority = call.priority
         if call.repeatable:
-            job.overdue, job.repeatable = overdue, True
+            job.on_overdue, job.repeatable = overdue, True
         if call.key:
-            self.claim(call_id[1], call.key, token, call.left_s, _claim_limit_s(call), job, answered)
+            self.claim(call_id[1], call.key, token, call.remaining_s, _claim_limit_s(call), job, answered)
         else:
             self.jobs[call_id] = job
             queue.submit(job)
@@ -137,12 +137,12 @@
         most = now + _most_wait_s(call)
         # What was lost for longer than its aim, as while everybody was down, is worth less than any that can
         # be in time: it goes when none of those waits.
-        if call.past_aim:
+        if call.past_target:
             return now, max(now, most)
-        wait_s = max(call.aim_s - SCATTER * self._queue.takes(call.route), call.aim_s * PATIENCE)
+        wait_s = max(call.target_s - SCATTER * self._queue.takes(call.route), call.target_s * PATIENCE)
         # Whoever was refused before goes first: refused once more, its client has waited for nothing.
-        wait_s *= RETURNED_PART if call.again else 1.0
-        due = now + min(wait_s, call.left_s * MOST_WAIT_PART)
+        wait_s *= RETURNED_PART if call.is_retry else 1.0
+        due = now + min(wait_s, call.remaining_s * MOST_WAIT_PART)
         return due, max(due, most)
 
     def _ended(
@@ -158,7 +158,7 @@
         """The server has answered a call, or will not."""
         self._context.open_calls -= 1
         self.jobs.pop(call_id, None)
-        found = judge(error, reply)
+        found = classify_reply(error, reply)
         if call.key:
             self.close_key(call.key, token, found, reply)
         if found is not None or reply is None:
@@ -205,7 +205,7 @@
             self._key_claims.broke(key, token)
 
 
-def judge(error: ErrorKind | None, reply: Reply | None) -> ErrorKind | None:
+def classify_reply(error: ErrorKind | None, reply: Reply | None) -> ErrorKind | None:
     """What a client may be told of an outcome; None where the reply is the server's whole answer."""
     if error is not None or reply is None:
         return error or ErrorKind.BROKEN
@@ -220,12 +220,12 @@
 
 def _most_wait_s(call: Call) -> float:
     """How long a call may wait unsent at one server."""
-    return min(call.left_s * MOST_WAIT_PART, call.aim_s * BEYOND_AIM)
+    return min(call.remaining_s * MOST_WAIT_PART, call.target_s * BEYOND_AIM)
 
 
 def _claim_limit_s(call: Call) -> float:
     """How long the claim of a call's key may take."""
-    return max(LEAST_CLAIM_S, call.aim_s * PATIENCE)
+    return max(LEAST_CLAIM_S, call.target_s * PATIENCE)
 
 
 def _maker(call: Call) -> Callable[[float, str], bytes]:
--- a/mesh/proxy/chunked_transfer.py
+++ b/mesh/proxy/chunked_transfer.py
@@ -17,7 +17,7 @@
 INLINE_S = 0.02  # a body that takes the link for no longer goes with its request
 WINDOW_S = 0.05  # so much of the link's time may be on its way
 LEAST_WINDOW = 16 * 1024
-PIECE = 16 * 1024  # at most so much in one message: small ones pass between
+MAX_CHUNK_BYTES = 16 * 1024  # at most so much in one message: small ones pass between
 Key = TypeVar("Key", bound=Hashable)
 STUCK_S = 0.5  # a sender that has sent nothing for so long holds up no other
 
@@ -43,7 +43,7 @@
 
     def __init__(self, bytes_s: float) -> None:
         self.bytes_s = max(1.0, bytes_s)
-        self.inline = int(self.bytes_s * INLINE_S)
+        self.inline_limit = int(self.bytes_s * INLINE_S)
         self._window = max(LEAST_WINDOW, int(self.bytes_s * WINDOW_S))
         self._loads: dict[Key, Load] = {}
 
@@ -81,7 +81,7 @@
             load = loads[key]
             if load.granted == load.got:
                 load.moved_at = now  # nothing was asked of it before: its time begins now
-            more = min(PIECE, load.size - load.granted)
+            more = min(MAX_CHUNK_BYTES, load.size - load.granted)
             load.granted += more
             found[key] = load.granted
             open_ += more
--- a/mesh/proxy/control_client.py
+++ b/mesh/proxy/control_client.py
@@ -14,7 +14,7 @@
 from mesh.state.configuration import Item
 from mesh.state.distribution import LOOK_S, PULL_S, RECORDS_WAIT_S, Copy, Following, RecordsComparison
 from mesh.state.quorum import Voters
-from mesh.transport.connection import Dial, Heard, PeerConnection, pack
+from mesh.transport.connection import Dialer, MessageHandler, PeerConnection, pack
 from mesh.transport.messages import (
     VERSION,
     Controllers,
@@ -30,7 +30,7 @@
     RecordsDigest,
     Register,
     SidecarRecord,
-    intact,
+    matches_checksum,
 )
 
 
@@ -41,7 +41,9 @@
     `on_table` is called whenever another configuration is in force here.
     """
 
-    def __init__(self, context: ProxyContext, hear: Heard, own_record: Callable[[], SidecarRecord]) -> None:
+    def __init__(
+        self, context: ProxyContext, hear: MessageHandler, own_record: Callable[[], SidecarRecord]
+    ) -> None:
         self._context, self._hear, self._own_record = context, hear, own_record
         settings = context.settings
         self.copy = Copy()  # the items that are in force here
@@ -52,7 +54,7 @@
         self.records_digest: Callable[[], int] = lambda: 0
         """The digest of all records that this sidecar holds."""
         self._comparison = RecordsComparison()
-        self._dials: dict[str, Dial] = {}
+        self._dials: dict[str, Dialer] = {}
         self._zones: dict[str, str] = {}
         self._lives: dict[str, int] = {}
         self._forgotten: dict[str, int] = {}  # the life with which others have forgotten a controller
@@ -72,14 +74,14 @@
         """Tell all controllers something."""
         packed = pack(message)
         for link in self.links.values():
-            link.put(packed)
+            link.send_packed(packed)
 
     # --- connections
 
     def _know(self, address: str) -> None:
         if address in self._dials:
             return
-        self._dials[address] = Dial(
+        self._dials[address] = Dialer(
             Address.read(address),
             self._hear,
             partial(self._connected, address),
@@ -98,7 +100,7 @@
             self._comparison.down(address)
             self._follow()
             self._forget(address)
-        self.key_claims.lost(address)
+        self.key_claims.on_connection_lost(address)
 
     def _forget(self, address: str) -> None:
         """Dial a controller no more that others have forgotten, unless it is reached from here."""
@@ -113,7 +115,7 @@
     def hear_controllers(self, link: PeerConnection, told: Controllers) -> None:
         """Which controllers there are, and which were forgotten: those come back by a later life alone."""
         for address in told.addresses:
-            life = told.lives.get(address, 0)
+            life = told.incarnations.get(address, 0)
             if life > self._forgotten.get(address, -1):
                 self._forgotten.pop(address, None)
                 self._lives[address] = max(life, self._lives.get(address, 0))
@@ -136,11 +138,11 @@
             return
         for name in voters.names:
             self._know(name)
-        self.key_claims.take_voters(voters)
+        self.key_claims.update_voters(voters)
 
     def hear_contact(self, link: PeerConnection, told: InContact) -> None:
         """Whether a controller is in contact with a majority: else another is followed."""
-        self.following.current(link.peer, told.yes)
+        self.following.current(link.peer, told.in_contact)
         self._follow()
 
     def _follow(self) -> None:
@@ -168,7 +170,7 @@
             return
         followed = self.links.get(self.following.controller)
         tells = followed is not None and (followed is not link or not self.copy.digest)
-        heard_at = followed.heard_at if followed is not None and tells else 0.0
+        heard_at = followed.last_received_at if followed is not None and tells else 0.0
         lacking = self.following.lacks(self._context.now(), link.peer, self.copy.digest, heard_at)
         if lacking is None:
             self._context.loop.call_later(LOOK_S, self._pull_if_lacking, link)
@@ -200,7 +202,7 @@
 
     def hear_items(self, link: PeerConnection, told: Items) -> None:
         """Items that are news, or all."""
-        if not intact(told.items, told.checksum):
+        if not matches_checksum(told.items, told.checksum):
             logger.warning("items that are not those that were sent are dropped and asked for anew")
             self._context.loop.call_later(PULL_S, self._pull, link)
             return
--- a/mesh/proxy/directory.py
+++ b/mesh/proxy/directory.py
@@ -14,7 +14,7 @@
 from mesh.proxy.subset import REACH_S, Subset
 from mesh.settings import Address
 from mesh.state.distribution import RecordsDigest
-from mesh.transport.connection import QUIET_S, Dial, Heard, PeerConnection
+from mesh.transport.connection import IDLE_PING_INTERVAL_S, Dialer, MessageHandler, PeerConnection
 from mesh.transport.messages import SidecarRecord
 
 CHOOSE_S = 1.0  # how often it is looked which connections are needed
@@ -27,7 +27,7 @@
     `hear` gets what other sidecars say; `on_link_lost` is called with the node whose connection has ended.
     """
 
-    def __init__(self, context: ProxyContext, hear: Heard) -> None:
+    def __init__(self, context: ProxyContext, hear: MessageHandler) -> None:
         self._context, self._hear = context, hear
         self.endpoints: dict[str, Endpoint] = {}  # by node
         self.links: dict[str, PeerConnection] = {}  # by node
@@ -36,7 +36,7 @@
         self.most_sidecars = 0  # that were known at any time
         self.on_link_lost: Callable[[str], None] = lambda node: None
         self._subsets: dict[str, Subset] = {}  # by service
-        self._dials: dict[str, Dial] = {}
+        self._dials: dict[str, Dialer] = {}
         self._timer: asyncio.TimerHandle | None = None
         settings = context.settings
         self._failure_detector = FailureDetector(
@@ -98,7 +98,7 @@
         if known is not None and record.order <= known.order:
             return
         self.records[record.node] = record
-        self.digest.take(record.node, record.life, record.number)
+        self.digest.take(record.node, record.incarnation, record.number)
         self.most_sidecars = max(self.most_sidecars, len(self.records))
         endpoint = self._endpoint_of(record)
         endpoint.zone = record.zone
@@ -108,7 +108,7 @@
         endpoint.instance, endpoint.slots = record.instance, record.slots
         endpoint.draining = not record.is_open
         endpoint.version = record.version
-        endpoint.cold_until = self._context.now() + record.cold_s
+        endpoint.cold_until = self._context.now() + record.warm_up_s
         if endpoint.address != record.address:
             endpoint.address = record.address
             self._stop_dial(record.node)
@@ -120,7 +120,7 @@
         if endpoint is not None and endpoint.service != record.service:
             self._drop(record.node)
             self.records[record.node] = record
-            self.digest.take(record.node, record.life, record.number)
+            self.digest.take(record.node, record.incarnation, record.number)
             endpoint = None
         if endpoint is None:
             endpoint = self.endpoints[record.node] = Endpoint(record.node, record.service)
@@ -139,7 +139,7 @@
         """A controller has not seen that life of a sidecar for long; where there is no connection to it
         either, it is forgotten."""
         record = self.records.get(node)
-        same_life = record is not None and record.life == life
+        same_life = record is not None and record.incarnation == life
         if node != self._context.me and same_life and node not in self.links:
             self._drop(node)
 
@@ -187,12 +187,12 @@
         """Keep a connection to the sidecar beside a server."""
         node = endpoint.node
         endpoint.lost_at = self._context.now()
-        self._dials[node] = Dial(
+        self._dials[node] = Dialer(
             Address.read(endpoint.address),
             self._hear,
             partial(self.connected, node),
             partial(self.disconnected, node),
-            QUIET_S,
+            IDLE_PING_INTERVAL_S,
         )
 
     def _stop_dial(self, node: str) -> None:
@@ -218,4 +218,4 @@
         link = self.links.get(node)
         if link is not None:
             logger.info("given up by the failure detector", sidecar=node)
-            link.end()
+            link.abort()
--- a/mesh/proxy/forwarder.py
+++ b/mesh/proxy/forwarder.py
@@ -9,7 +9,7 @@
 from hollyport.http import heads
 from hollyport.http.message import Message as Request
 from mesh.errors import ANSWERS, PROMISES, ErrorKind
-from mesh.proxy.chunked_transfer import PIECE
+from mesh.proxy.chunked_transfer import MAX_CHUNK_BYTES
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.directory import Directory
 from mesh.proxy.endpoints import Endpoint
@@ -17,7 +17,7 @@
 from mesh.proxy.picker import LEAST_CLOSED_S, Picker
 from mesh.proxy.request_counts import NO_ROUTE, RequestCounts
 from mesh.proxy.retry_budget import RetryBudget
-from mesh.proxy.server_queue import HOP_S
+from mesh.proxy.server_queue import NETWORK_MARGIN_S
 from mesh.transport.connection import PeerConnection
 from mesh.transport.messages import (
     BodyChunk,
@@ -44,7 +44,7 @@
     """The server beside this sidecar, as one of those that requests are offered to."""
 
     @property
-    def inline(self) -> int:
+    def inline_limit(self) -> int:
         """Bytes of a body that goes with its call."""
 
     def run_local(self, number: int, call: Call, answered: Answered, overdue: Callable[[], None]) -> None:
@@ -89,9 +89,9 @@
         """Take a request until it is answered."""
         now = self._context.now()
         request.message.request_id = "open"
-        self._budget(request.service).asked(now)
+        self._budget(request.service).record_request(now)
         self._context.open_requests += 1
-        wait_s = max(0.0, request.deadline - now - HOP_S)
+        wait_s = max(0.0, request.deadline - now - NETWORK_MARGIN_S)
         request.timer = self._context.loop.call_later(wait_s, self.time_is_up, request)
         self._picker.pick(request)
 
@@ -106,7 +106,7 @@
 
     def _may_retry(self, now: float, request: PendingRequest) -> bool:
         """Whether the budget for second servers has room, which is then taken."""
-        return self._budget(request.service).take(now, self._directory.most_sidecars)
+        return self._budget(request.service).try_acquire(now, self._directory.most_sidecars)
 
     def _no_server(self, request: PendingRequest) -> None:
         if not request.open_offers:
@@ -124,10 +124,10 @@
             self.time_is_up(request)
 
     def _end(self, request: PendingRequest, error: ErrorKind) -> None:
-        if request.over:
+        if request.finished:
             return
         self._finish(request)
-        self.answer_error(request.message, error, request.aim_at - request.began, request.route.name)
+        self.answer_error(request.message, error, request.target_at - request.started_at, request.route.name)
 
     def _finish(self, request: PendingRequest) -> None:
         request.finish()
@@ -155,14 +155,14 @@
         number, local = self._context.fresh(), endpoint.node == self._context.me
         offer = self.offers[number] = Offer(request, endpoint)
         body = request.message.body
-        if not local and endpoint.version >= CHUNKS_VERSION and len(body) > self._local.inline:
+        if not local and endpoint.version >= CHUNKS_VERSION and len(body) > self._local.inline_limit:
             offer.body = body
         call = self._call(request, offer)
         if local:
             self._local.run_local(number, call, self.hear_answer, lambda: self.hear_overdue(number))
         else:
             link = self._directory.links[endpoint.node]
-            link.attend(1)
+            link.expect_answers(1)
             link.send(Forward(number, call))
 
     def _call(self, request: PendingRequest, offer: Offer) -> Call:
@@ -176,14 +176,14 @@
             target=message.target,
             headers=[pair for pair in message.headers if pair[0] not in left_out],
             body=b"" if offer.body else message.body,
-            left_s=request.deadline - now,
-            aim_s=request.aim_at - now,
-            attempt=request.attempt,
+            remaining_s=request.deadline - now,
+            target_s=request.target_at - now,
+            attempt_id=request.attempt_id,
             key=request.key,
             route=request.route.name,
-            again=request.came_before,
+            is_retry=request.is_retry,
             repeatable=request.repeatable,
-            past_aim=request.past_aim,
+            past_target=request.past_target,
             size=len(offer.body),
             priority=request.route.priority,
         )
@@ -196,21 +196,21 @@
         request, endpoint, now = offer.request, offer.endpoint, self._context.now()
         link = self._directory.links.get(endpoint.node)
         if link is not None:
-            link.attend(-1)
+            link.expect_answers(-1)
         endpoint.inflight -= 1
         request.open_offers -= 1
-        endpoint.reported(now, request.route.name, told.wait_s, told.work_s, told.failing)
+        endpoint.reported(now, request.route.name, told.wait_s, told.work_s, told.failure_rate)
         if told.wait_s:
             endpoint.closed_until = now + min(told.wait_s, MOST_CLOSED_S)
         if told.error:
             self._failed(now, request, endpoint, told)
             return
-        endpoint.answered(now - request.began)
-        if request.over:
+        endpoint.answered(now - request.started_at)
+        if request.finished:
             return
         self._picker.note_size(request.route.name, len(told.body))
         self._finish(request)
-        self.counts.answered(request.route.name, told.status, now - request.began)
+        self.counts.answered(request.route.name, told.status, now - request.started_at)
         request.message.answer(told.status, told.body, list(told.headers))
 
     def _failed(self, now: float, request: PendingRequest, endpoint: Endpoint, told: ForwardAnswer) -> None:
@@ -221,7 +221,7 @@
             endpoint.closed_until = max(endpoint.closed_until, now + LEAST_CLOSED_S)
         elif error != ErrorKind.AT_WORK:
             request.may_have_run = True
-        if request.over:
+        if request.finished:
             return
         if self._goes_on(now, request, error) and self._may_retry(now, request):
             self._picker.pick(request)
@@ -236,7 +236,7 @@
         harmless = error in PROMISES or (request.repeatable and error == ErrorKind.BROKEN)
         left = len(request.tried) < max(MOST_OFFERS, attempts) and request.arrivals < attempts
         early = error == ErrorKind.BROKEN or now < request.offered_until
-        return harmless and left and early and now < request.deadline - HOP_S
+        return harmless and left and early and now < request.deadline - NETWORK_MARGIN_S
 
     def hear_overdue(self, number: int) -> None:
         """A server takes unusually long: what may run twice is sent to another as well, within the budget for
@@ -246,9 +246,9 @@
             return
         request, now = offer.request, self._context.now()
         only_one = request.open_offers == 1 and request.arrivals + 1 < request.route.attempts
-        if not request.repeatable or not only_one or request.over or len(request.tried) >= MOST_OFFERS:
+        if not request.repeatable or not only_one or request.finished or len(request.tried) >= MOST_OFFERS:
             return
-        if now < request.deadline - HOP_S and self._may_retry(now, request):
+        if now < request.deadline - NETWORK_MARGIN_S and self._may_retry(now, request):
             self._picker.pick(request)
 
     # --- clients and sidecars that go away
@@ -258,7 +258,7 @@
         there. What may not, and may have begun, runs on; so does an operation with a key, whose answer is
         kept for its repeat."""
         request = self._request_of(message)
-        if request is None or request.over:
+        if request is None or request.finished:
             return
         self._finish(request)
         self.counts.client_left(request.route.name)
@@ -296,12 +296,12 @@
         number, offer = asked.number, self.offers.get(asked.number)
         if offer is None or not offer.body:
             return
-        if offer.request.over:  # its client has its answer or has left: what is not there whole can't run
+        if offer.request.finished:  # its client has its answer or has left: what is not there whole can't run
             self.hear_answer(ForwardAnswer.failed(number, ErrorKind.LEAVING))
             link.send(BodyDropped(number))
             return
-        while offer.sent < min(asked.upto, len(offer.body)):
-            chunk = offer.body[offer.sent : min(offer.sent + PIECE, asked.upto)]
+        while offer.sent < min(asked.end_offset, len(offer.body)):
+            chunk = offer.body[offer.sent : min(offer.sent + MAX_CHUNK_BYTES, asked.end_offset)]
             offer.sent += len(chunk)
             link.send(BodyChunk(number, chunk))
 
--- a/mesh/proxy/ingress.py
+++ b/mesh/proxy/ingress.py
@@ -72,12 +72,12 @@
                 message=message,
                 route=route,
                 service=self._split.choose(route),
-                began=now,
+                started_at=now,
                 deadline=now + left_s,
-                aim_at=now + min(route.aim, left_s),
+                target_at=now + min(route.aim, left_s),
                 offered_until=now + left_s * OFFERED_PART,
-                came_before=age_s > CAME_BEFORE_S,
-                past_aim=age_s >= route.aim,
+                is_retry=age_s > CAME_BEFORE_S,
+                past_target=age_s >= route.aim,
             )
         )
 
--- a/mesh/proxy/key_claims.py
+++ b/mesh/proxy/key_claims.py
@@ -12,7 +12,7 @@
 from mesh.transport.connection import PeerConnection, pack
 from mesh.transport.messages import ClaimAnswer, ClaimKey, FreeKey, KeyBroken, KeyDone, Message
 
-ROUND_S = 1.0  # a claim's round is void after so long
+ROUND_TIMEOUT_S = 1.0  # a claim's round is void after so long
 LEAST_S = 0.01
 HEDGE_S = 0.02  # after so long without a verdict all controllers are asked for a key, not only the nearest
 KEYLESS_S = 0.25  # how long none is tried after one that took too long
@@ -29,7 +29,7 @@
         self._claims, self._key, self._token, self._decided = claims, key, token, decided
         self._ends = claims.loop.time() + left_s
         self._number = 0
-        self._claim = Claim(0, 0, claims.loop.time(), ROUND_S)
+        self._claim = Claim(0, 0, claims.loop.time(), ROUND_TIMEOUT_S)
         self._packed = b""
         self._order: list[str] = []
         self._asked: list[str] = []
@@ -40,7 +40,7 @@
         """Ask the nearest that are enough; what they don't settle soon, the others are asked as well."""
         loop = self._claims.loop
         self._timers = [
-            loop.call_later(min(ROUND_S, limit_s), self._late),
+            loop.call_later(min(ROUND_TIMEOUT_S, limit_s), self._late),
             loop.call_later(HEDGE_S, self._ask_all),
         ]
         self.begin()
@@ -48,11 +48,11 @@
     def begin(self) -> None:
         """A round, among those who vote now. Answers are counted by its number, so within one epoch."""
         claims, loop = self._claims, self._claims.loop
-        claims.open.pop(self._number, None)
+        claims.pending.pop(self._number, None)
         self._number = claims.fresh()
-        claims.open[self._number] = self
+        claims.pending[self._number] = self
         voters = claims.voters
-        self._claim = Claim(len(voters.names), voters.write, loop.time(), ROUND_S)
+        self._claim = Claim(len(voters.names), voters.write, loop.time(), ROUND_TIMEOUT_S)
         left_s = self._ends - loop.time() + MARGIN_S
         self._packed = pack(ClaimKey(self._number, self._key, self._token, left_s, max(1, voters.epoch)))
         self._order = claims.nearest_first()
@@ -74,23 +74,23 @@
             if link is None:
                 self._claim.failed(name)
             else:
-                link.put(self._packed)
+                link.send_packed(self._packed)
 
     def _ask_all(self) -> None:
-        if self._number in self._claims.open:
+        if self._number in self._claims.pending:
             self._ask(self._order)
             self._look()
 
     def _late(self) -> None:
         """Nothing was settled in time."""
-        if self._number not in self._claims.open:
+        if self._number not in self._claims.pending:
             return
         for name in self._claims.voters.names:
             self._claim.silent(name)
         self._claims.pause()
         self._look()
 
-    def hear(self, name: str, answer: ClaimAnswer) -> None:
+    def on_claim_answer(self, name: str, answer: ClaimAnswer) -> None:
         """A controller has answered."""
         if answer.outcome > 0:
             self._claim.granted(name)
@@ -100,21 +100,21 @@
             self._claim.failed(name)
         self._look()
 
-    def lost(self, name: str) -> None:
+    def on_connection_lost(self, name: str) -> None:
         """The connection to a controller has ended."""
         self._claim.failed(name)
         self._look()
 
     def _look(self) -> None:
         """Whether there is a verdict."""
-        if self._number not in self._claims.open:
+        if self._number not in self._claims.pending:
             return
         if self._claim.troubled and len(self._asked) < len(self._order):
             self._ask(self._order)
         verdict = self._claim.verdict(self._claims.loop.time())
         if verdict == Verdict.WAIT:
             return
-        del self._claims.open[self._number]
+        del self._claims.pending[self._number]
         for timer in self._timers:
             timer.cancel()
         self._claims.settled(self._key, self._token, self.all_asked, verdict)
@@ -135,7 +135,7 @@
     ) -> None:
         self.loop, self.links, self._zones, self._zone, self.fresh = loop, links, zones, zone, fresh
         self.voters: Voters = NOBODY
-        self.open: dict[int, Attempt] = {}
+        self.pending: dict[int, Attempt] = {}
         self._asked: dict[str, list[str]] = {}  # by token at work: the controllers that were asked
         self.timed_out = 0  # claims that took too long
         self._paused_until = 0.0  # controllers are out of reach, as it seems
@@ -164,27 +164,27 @@
         if verdict != Verdict.RUN:
             self._tell(token, FreeKey(key, token))
 
-    def take_voters(self, told: Voters) -> bool:
+    def update_voters(self, told: Voters) -> bool:
         """Who votes from now on. What was asked of those before is asked anew, as long as nothing ran."""
         if not told.newer(self.voters):
             return False
         self.voters = told
         for asked in self._asked.values():  # they may have heard of it from those before
             asked += [name for name in told.names if name not in asked]
-        for attempt in list(self.open.values()):
+        for attempt in list(self.pending.values()):
             attempt.begin()
         return True
 
-    def hear(self, link: PeerConnection, answer: ClaimAnswer) -> None:
+    def on_claim_answer(self, link: PeerConnection, answer: ClaimAnswer) -> None:
         """A controller has answered."""
-        attempt = self.open.get(answer.claim)
+        attempt = self.pending.get(answer.claim)
         if attempt is not None:
-            attempt.hear(link.peer, answer)
+            attempt.on_claim_answer(link.peer, answer)
 
-    def lost(self, name: str) -> None:
+    def on_connection_lost(self, name: str) -> None:
         """The connection to a controller has ended."""
-        for attempt in list(self.open.values()):
-            attempt.lost(name)
+        for attempt in list(self.pending.values()):
+            attempt.on_connection_lost(name)
 
     # --- ends of operations
 
@@ -206,4 +206,4 @@
         for name in self._asked.pop(token, ()):
             link = self.links.get(name)
             if link is not None:
-                link.put(packed)
+                link.send_packed(packed)
--- a/mesh/proxy/pending.py
+++ b/mesh/proxy/pending.py
@@ -17,23 +17,23 @@
     message: Request
     route: Route
     service: str  # the one that the route's weights have drawn
-    began: float
+    started_at: float
     deadline: float
-    aim_at: float  # an answer by then earns its full worth
+    target_at: float  # an answer by then earns its full worth
     offered_until: float  # after this it is offered to no other server
-    came_before: bool = False  # its client has spent time on it already
-    past_aim: bool = False  # so much that no answer can be within its aim
-    attempt: bytes = b""
+    is_retry: bool = False  # its client has spent time on it already
+    past_target: bool = False  # so much that no answer can be within its aim
+    attempt_id: bytes = b""
     key: str = ""  # of its operation; empty where its route has none
     tried: list[Endpoint] = field(default_factory=list)
     arrivals: int = 0  # servers that it has reached
     open_offers: int = 0  # that are not answered yet
     may_have_run: bool = False
-    over: bool = False
+    finished: bool = False
     timer: asyncio.TimerHandle | None = None
 
     def __post_init__(self) -> None:
-        self.attempt = self.message.header(b"x-attempt-id") or b""
+        self.attempt_id = self.message.header(b"x-attempt-id") or b""
         if self.route.variant == "idempotent":
             self.key = (self.message.header(b"x-operation-key") or b"").decode("latin-1")
 
@@ -44,6 +44,6 @@
 
     def finish(self) -> None:
         """It has its answer, or nobody waits for one."""
-        self.over = True
+        self.finished = True
         if self.timer is not None:
             self.timer.cancel()
--- a/mesh/proxy/picker.py
+++ b/mesh/proxy/picker.py
@@ -110,12 +110,12 @@
                 lookup.unanswered += 1
                 self._directory.links[endpoint.node].send(LoadQuery(number, kind, size))
         self._lookups[number] = lookup
-        limit_s = max(LEAST_ASKING_S, (request.aim_at - now) * ASKING_PART)
+        limit_s = max(LEAST_ASKING_S, (request.target_at - now) * ASKING_PART)
         lookup.timer = self._context.loop.call_later(limit_s, self.asked_enough, number)
 
     @staticmethod
     def _take(now: float, kind: str, endpoint: Endpoint, report: LoadReport) -> None:
-        endpoint.reported(now, kind, report.wait_s, report.work_s, report.failing)
+        endpoint.reported(now, kind, report.wait_s, report.work_s, report.failure_rate)
         if not report.is_open:
             endpoint.closed_until = now + LEAST_CLOSED_S
 
@@ -131,7 +131,7 @@
             took_s = now - lookup.began
             self._asking_s += (took_s - self._asking_s) * ASKING_GAIN
             self._take(now, lookup.request.route.name, endpoint, report)
-            lookup.carries[node] = report.carry_s
+            lookup.carries[node] = report.transfer_s
             if not report.is_open:
                 endpoint.reported_at = -1.0
             elif lookup.unanswered > 0 and lookup.timer is not None:
@@ -158,7 +158,7 @@
         if lookup.timer is not None:
             lookup.timer.cancel()
         request, now = lookup.request, self._context.now()
-        if request.over:
+        if request.finished:
             return
         usable = self._directory.usable
         drawn = [
--- a/mesh/proxy/request_age.py
+++ b/mesh/proxy/request_age.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 SPAN = 64  # tries after which the longest of those before them is forgotten
-SURE = 16  # fewer than so many tell of no longest yet
+MIN_SAMPLES = 16  # fewer than so many tell of no longest yet
 
 
 class RequestAges:
@@ -25,7 +25,7 @@
         self._count += 1
         self._here = max(self._here, left)
         whole = max(self._before, self._here)
-        if not self._before and self._count < SURE:
+        if not self._before and self._count < MIN_SAMPLES:
             whole = max(whole, timeout)
         if self._count >= SPAN:
             self._before, self._here, self._count = self._here, 0.0, 0
--- a/mesh/proxy/request_counts.py
+++ b/mesh/proxy/request_counts.py
@@ -44,7 +44,7 @@
         """A request was offered to a sidecar beside a server."""
         self._offers.add((service, "first" if first else "further"))
 
-    def figures(self) -> Iterator[Figure]:
+    def metrics(self) -> Iterator[Figure]:
         """All families."""
         yield self._requests.figure()
         yield self._seconds.figure()
--- a/mesh/proxy/retry_budget.py
+++ b/mesh/proxy/retry_budget.py
@@ -20,13 +20,13 @@
         self._asked: deque[float] = deque()
         self._spent: deque[float] = deque()
 
-    def asked(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A request for the service has come."""
         self._asked.append(now)
         while self._asked and self._asked[0] < now - self._window:
             self._asked.popleft()
 
-    def take(self, now: float, sidecars: int) -> bool:
+    def try_acquire(self, now: float, sidecars: int) -> bool:
         """Whether one further arrival is allowed, which it then counts as."""
         for times in (self._asked, self._spent):
             while times and times[0] < now - self._window:
--- a/mesh/proxy/server_beats.py
+++ b/mesh/proxy/server_beats.py
@@ -27,7 +27,7 @@
     service: str
     ready: bool
     slots: int
-    cold_s: float  # how much longer it is slow
+    warm_up_s: float  # how much longer it is slow
     call_number: int  # rises with each call of one instance
 
 
@@ -40,7 +40,7 @@
                 service=str(told["service"]),
                 ready=str(told.get("state", "ready")) == "ready",
                 slots=max(1, int(told.get("slots", 1))),
-                cold_s=seconds(told.get("cold_left", "0ms")),
+                warm_up_s=seconds(told.get("cold_left", "0ms")),
                 call_number=int(told.get("call_seq", 0)),
             )
         )
@@ -48,7 +48,7 @@
         return Error(str(error))
 
 
-class ServerBeats:
+class ServerHeartbeats:
     """The control address of one sidecar, and its record.
 
     `changed` is called whenever others have to hear of another record.
@@ -57,7 +57,7 @@
     def __init__(self, context: ProxyContext, queue: ServerQueue, changed: Callable[[], None]) -> None:
         self._context, self._queue, self._changed = context, queue, changed
         self._number = 1  # of the record that stands, in this life
-        queue.replaced = self.adopt
+        queue.replaced = self.adopt_instance
 
     def serve(self, message: Request) -> None:
         """A call on the control address."""
@@ -80,7 +80,7 @@
     def _end(self, instance: str) -> None:
         """A server's life is over: nothing more is sent to it, and a late beat of it says nothing."""
         queue = self._queue
-        queue.over.add(instance)
+        queue.ended_instances.add(instance)
         if queue.instance == instance:
             queue.gone()
             self._changed()
@@ -92,24 +92,24 @@
         if read.is_error():
             return ErrorKind.BAD
         beat = read.ok
-        if beat.call_number <= queue.lives.get(instance, -1) or instance in queue.over:
+        if beat.call_number <= queue.lives.get(instance, -1) or instance in queue.ended_instances:
             return None  # a late one: what it says is known, or of a life that has ended
         if beat.service != self._context.settings.service:
             logger.warning("a server of another service beats here", service=beat.service)
             return ErrorKind.BAD
         queue.lives[instance] = beat.call_number
         before = (queue.instance, queue.open)
-        queue.life(instance, beat.slots, beat.cold_s, beat.ready)
+        queue.update_server(instance, beat.slots, beat.warm_up_s, beat.ready)
         if (queue.instance, queue.open) != before:  # nobody picks by the slots that a record tells
             self._changed()
         return None
 
-    def adopt(self, instance: str) -> None:
+    def adopt_instance(self, instance: str) -> None:
         """A server's id that no beat has told yet: a sidecar that started anew need not wait for the next."""
         queue = self._queue
-        if instance and not queue.instance and instance not in queue.over:
+        if instance and not queue.instance and instance not in queue.ended_instances:
             logger.info("the server says who it is", instance=instance)
-            queue.life(instance, MAX_STEPS, 0.0, True)
+            queue.update_server(instance, MAX_STEPS, 0.0, True)
             self._changed()
 
     def next_record(self) -> SidecarRecord:
@@ -128,13 +128,13 @@
             instance=queue.instance,
             slots=queue.slots,
             is_open=queue.open and not context.leaving,
-            cold_s=max(0.0, queue.cold_until - context.now()),
-            life=context.life,
+            warm_up_s=max(0.0, queue.cold_until - context.now()),
+            incarnation=context.life,
             number=self._number,
             version=VERSION,
         )
 
-    def outlive(self, life: int) -> None:
+    def ensure_newer_than(self, life: int) -> None:
         """A later life of this sidecar is known: a clock has stepped back since the process before."""
         if life >= self._context.life:
             self._context.life = life + 1
--- a/mesh/proxy/server_queue.py
+++ b/mesh/proxy/server_queue.py
@@ -28,7 +28,7 @@
 MOST_KINDS = 256  # kinds of calls whose times are kept apart
 ILL_GAIN = 0.1  # weight of one call's outcome against what was known
 ILL_FADES_S = 3.0  # half of what was known is forgotten after so long
-HOP_S = 0.008  # kept back of a deadline for the way home
+NETWORK_MARGIN_S = 0.008  # kept back of a deadline for the way home
 
 
 class Job:
@@ -38,7 +38,7 @@
     """
 
     __slots__ = (
-        "make",
+        "build_request",
         "tid",
         "deadline",
         "due",
@@ -49,8 +49,8 @@
         "trial",
         "exchange",
         "began",
-        "over",
-        "overdue",
+        "finished",
+        "on_overdue",
         "repeatable",
         "timer",
         "withdrawn",
@@ -66,13 +66,13 @@
         done: Callable[[ErrorKind | None, bool, Reply | None], None],
         kind: str = "",
     ) -> None:
-        self.make, self.tid, self.done, self.kind = make, tid, done, kind
+        self.build_request, self.tid, self.done, self.kind = make, tid, done, kind
         self.deadline, self.due, self.last = deadline, due, last
         self.priority = 0  # rank of its route; 0 is the most urgent
-        self.trial = self.over = False
+        self.trial = self.finished = False
         self.repeatable = False  # whether it may run more than once
         self.withdrawn = False  # nobody waits for its answer any more
-        self.overdue: Callable[[], None] | None = None  # told once where the server takes unusually long
+        self.on_overdue: Callable[[], None] | None = None  # told once where the server takes unusually long
         self.timer: asyncio.TimerHandle | None = None
         self.exchange: Exchange | None = None
         self.began = 0.0
@@ -88,17 +88,17 @@
         self.upstream = Upstream(loop, 1_000_000_000, int(KEPT_S * 1e9), most, 2.0, self._back)
         self.instance = ""
         self.lives: dict[str, int] = {}  # by id: the last number that a beat carried
-        self.over: set[str] = set()  # ids of lives that have ended
+        self.ended_instances: set[str] = set()  # ids of lives that have ended
         self.slots = 1
         self.open = False
         self.max_conns = MAX_STEPS
         self.cold_until = 0.0
         self.budget = self._new_budget()
-        self.queue: list[tuple[float, int, Job]] = []  # a heap, by when a start is due
+        self.queued: list[tuple[float, int, Job]] = []  # a heap, by when a start is due
         self.late: deque[Job] = deque()  # in arrival order: they go when nobody waits who can be in time
         self._count = self._samples = 0
-        self.out = 0
-        self.mean = 0.05  # seconds to an answer, of late
+        self.in_flight = 0
+        self.mean_service_s = 0.05  # seconds to an answer, of late
         self._means: dict[str, tuple[float, int]] = {}  # the same by kind of call, and of how many
         self._ill, self._ill_at = 0.0, 0.0  # part of calls that failed, when it was learned
         self._timer: asyncio.TimerHandle | None = None
@@ -110,13 +110,13 @@
         else spend seconds on queues that no server needs."""
         return Budget(1.0, min(MAX_STEPS, self.slots, self.max_conns), -(-told // 2))
 
-    def life(self, instance: str, slots: int, cold_s: float, is_open: bool) -> None:
+    def update_server(self, instance: str, slots: int, cold_s: float, is_open: bool) -> None:
         """What the server told of itself. A new id is a new process: nothing learned of the old one holds."""
         self.cold_until = self._loop.time() + cold_s
         if instance != self.instance or slots != self.slots:
             fresh = instance != self.instance
             if fresh and self.instance:
-                self.over.add(self.instance)
+                self.ended_instances.add(self.instance)
                 self.upstream.remove(self.instance)
             self.instance, self.slots = instance, slots
             if fresh:
@@ -145,7 +145,7 @@
         if exchange is not None:
             exchange.start()
 
-    def limit(self, max_conns: int) -> None:
+    def update_limits(self, max_conns: int) -> None:
         """What the configuration allows."""
         self.max_conns = max_conns
         self.budget.max_steps = max(1, min(MAX_STEPS, self.slots, max_conns))
@@ -154,27 +154,27 @@
         """The server has ended, or another has its address."""
         self.open = False
         if self.instance:
-            self.over.add(self.instance)
+            self.ended_instances.add(self.instance)
             self.upstream.remove(self.instance)
         self.instance = ""
         self.turn_away(ErrorKind.LEAVING)
 
     def turn_away(self, fault: ErrorKind) -> None:
         """Give back all that waits."""
-        queue, self.queue = self.queue, []
+        queue, self.queued = self.queued, []
         late, self.late = self.late, deque()
         for job in (*(entry[2] for entry in queue), *late):
             self._end(job, fault, False)
 
     def takes(self, kind: str) -> float:
         """Seconds from sending a call of a kind to its answer, about."""
-        return self._means.get(kind, (self.mean, 0))[0]
+        return self._means.get(kind, (self.mean_service_s, 0))[0]
 
     def pace(self, kind: str) -> float:
         """The same as it is told to callers: 0 where no call of that kind has been answered yet."""
         return self._means.get(kind, (0.0, 0))[0]
 
-    def light(self, kind: str) -> bool:
+    def is_light(self, kind: str) -> bool:
         """Whether a call takes little beside others here. Such calls go first, and are not given up for being
         late: they hold up nobody, and most are made by runs that are lost without them."""
         heavy = max((mean for mean, _ in self._means.values()), default=0.0)
@@ -183,9 +183,9 @@
     def wait(self) -> float:
         """Seconds until a call that came now would go, about."""
         room = self.budget.limit
-        if self.out < room:
+        if self.in_flight < room:
             return 0.0
-        return (len(self.queue) + len(self.late) + 1) * self.mean / max(1, room)
+        return (len(self.queued) + len(self.late) + 1) * self.mean_service_s / max(1, room)
 
     def takes_calls(self) -> bool:
         """Whether a call that came now would not be given back at once."""
@@ -193,21 +193,21 @@
             return False
         return bool(self.budget.steps) or self.budget.trial_allowed(int(self._loop.time() * 1e9))
 
-    def failing(self) -> float:
+    def failure_rate(self) -> float:
         """The part of calls that fail here of late. It fades with time: whoever gets no calls for it can't
         show that it is well."""
         return self._ill * math.exp2((self._ill_at - self._loop.time()) / ILL_FADES_S)
 
     def _judge(self, bad: bool) -> None:
         """One call went well, or not. What a server says of its health counts for nothing."""
-        known = self.failing()
+        known = self.failure_rate()
         self._ill = known + (bad - known) * ILL_GAIN
         self._ill_at = self._loop.time()
 
     def _ahead(self, due: float) -> float:
         """The same for one with this due time: only what is due before it counts."""
-        before = sum(1 for entry in self.queue if entry[0] <= due)
-        return (before + 1) * self.mean / max(1, self.budget.limit)
+        before = sum(1 for entry in self.queued if entry[0] <= due)
+        return (before + 1) * self.mean_service_s / max(1, self.budget.limit)
 
     def submit(self, job: Job) -> None:
         """Take a call; it goes at once, waits by when it is due, or is given back."""
@@ -218,18 +218,18 @@
         if not self.budget.steps and (self.budget.trial_in_flight or now * 1e9 < self.budget.retry_at):
             self._end(job, ErrorKind.FULL, False)  # nothing can take it soon
             return
-        if self.out >= self.budget.limit and not self.light(job.kind) and not self._fits(now, job):
+        if self.in_flight >= self.budget.limit and not self.is_light(job.kind) and not self._fits(now, job):
             # What is refused is refused at once: kept to be refused later, it would cost its client time.
             self._pump()
-            if self.out >= self.budget.limit and not self._displace(now, job):
+            if self.in_flight >= self.budget.limit and not self._displace(now, job):
                 self._end(job, ErrorKind.FULL, False)
                 return
         self._count += 1
         order = job.due
-        if self.light(job.kind):
+        if self.is_light(job.kind):
             order = now
             job.due = job.last = max(job.last, job.deadline - SPARE * self.takes(job.kind))
-        heapq.heappush(self.queue, (order, self._count, job))
+        heapq.heappush(self.queued, (order, self._count, job))
         self._pump()
 
     def _fits(self, now: float, job: Job) -> bool:
@@ -239,10 +239,10 @@
     def _displace(self, now: float, job: Job) -> bool:
         """Give back calls of less urgency in place of one that would be refused; whether that helps. Of the
         least urgent the one that is due last goes first; light ones hold up nobody and stay."""
-        waiting = [*(entry[2] for entry in self.queue), *self.late]
-        less = [one for one in waiting if one.priority > job.priority and not self.light(one.kind)]
+        waiting = [*(entry[2] for entry in self.queued), *self.late]
+        less = [one for one in waiting if one.priority > job.priority and not self.is_light(one.kind)]
         less.sort(key=lambda one: (one.priority, one.due))
-        turn_s = self.mean / max(1, self.budget.limit)
+        turn_s = self.mean_service_s / max(1, self.budget.limit)
         sooner = sum(1 for one in less if one.due <= job.due)
         if (
             now + self._ahead(job.due) - sooner * turn_s > job.due
@@ -257,14 +257,14 @@
 
     def _take_out(self, job: Job) -> None:
         """A call waits no more."""
-        self.queue = [entry for entry in self.queue if entry[2] is not job]
-        heapq.heapify(self.queue)
+        self.queued = [entry for entry in self.queued if entry[2] is not job]
+        heapq.heapify(self.queued)
         self.late = deque(waiting for waiting in self.late if waiting is not job)
 
     def withdraw(self, job: Job) -> None:
         """Nobody waits for a call any more. One that waits goes no more; one that may run twice is broken off
         at the server, which then ends work on it; any other runs on."""
-        if job.over or job.withdrawn:
+        if job.finished or job.withdrawn:
             return
         if job.exchange is None:
             job.withdrawn = True
@@ -276,10 +276,10 @@
 
     def _next(self, now: float) -> Job | None:
         """The call to go next; those that can't be in time any more step back behind all that can."""
-        while self.queue and now > self.queue[0][2].due:
-            self.late.append(heapq.heappop(self.queue)[2])
-        if self.queue:
-            return self.queue[0][2]
+        while self.queued and now > self.queued[0][2].due:
+            self.late.append(heapq.heappop(self.queued)[2])
+        if self.queued:
+            return self.queued[0][2]
         while self.late:
             job = self.late[0]
             if now <= job.last:
@@ -291,20 +291,20 @@
     def _pump(self) -> None:
         now = self._loop.time()
         while (job := self._next(now)) is not None:
-            goes, trial = self.budget.check_admission(int(now * 1e9), self.out)
+            goes, trial = self.budget.check_admission(int(now * 1e9), self.in_flight)
             if not goes:
                 break
-            if self.queue and self.queue[0][2] is job:
-                heapq.heappop(self.queue)
+            if self.queued and self.queued[0][2] is job:
+                heapq.heappop(self.queued)
             else:
                 self.late.popleft()
             self._send(now, job, trial)
         self._arm()
 
     def _arm(self) -> None:
-        if self._timer is None and (self.queue or self.late):
+        if self._timer is None and (self.queued or self.late):
             now = self._loop.time()
-            at = min([entry[2].last for entry in self.queue] + [job.last for job in self.late])
+            at = min([entry[2].last for entry in self.queued] + [job.last for job in self.late])
             if not self.budget.trial_in_flight and self.budget.retry_at > now * 1e9:
                 at = min(at, self.budget.retry_at / 1e9)
             self._timer = self._loop.call_later(max(0.001, at - now), self._look)
@@ -320,12 +320,12 @@
     def _send(self, now: float, job: Job, trial: bool) -> None:
         left = job.deadline - now
         instance = self.instance
-        if left <= HOP_S:
+        if left <= NETWORK_MARGIN_S:
             self._end(job, ErrorKind.FULL, False)
             return
         exchange = self.upstream.exchange(
             instance,
-            lambda: job.make(job.deadline - self._loop.time(), instance),
+            lambda: job.build_request(job.deadline - self._loop.time(), instance),
             left,
             lambda how, answer: self._ended(job, instance, how, answer),
         )
@@ -335,13 +335,13 @@
         exchange.expect = (b"x-attempt-id", job.tid)
         job.trial, job.exchange, job.began = trial, exchange, now
         self.budget.trial_in_flight = self.budget.trial_in_flight or trial
-        self.out += 1
-        if job.overdue is not None:
-            job.timer = self._loop.call_later(OVERDUE * self.takes(job.kind), job.overdue)
+        self.in_flight += 1
+        if job.on_overdue is not None:
+            job.timer = self._loop.call_later(OVERDUE * self.takes(job.kind), job.on_overdue)
         exchange.start()
 
     def _ended(self, job: Job, instance: str, how: AttemptOutcome, answer: Any) -> None:
-        self.out -= 1
+        self.in_flight -= 1
         now = self._loop.time()
         if job.timer is not None:
             job.timer.cancel()
@@ -389,7 +389,7 @@
             return
         self._samples += 1
         took = now - job.began
-        self.mean += (took - self.mean) * max(0.1, 1.0 / self._samples)
+        self.mean_service_s += (took - self.mean_service_s) * max(0.1, 1.0 / self._samples)
         mean, count = self._means.get(job.kind, (0.0, 0))
         mean += (took - mean) * max(0.05, 1.0 / (count + 1))
         if count or len(self._means) < MOST_KINDS:
@@ -417,6 +417,6 @@
             self.upstream.keep(min(KEPT_S, float(kept[8:]) * 1.5) * IDLE_TIMEOUT_FRACTION)
 
     def _end(self, job: Job, fault: ErrorKind | None, arrived: bool, reply: Reply | None = None) -> None:
-        if not job.over:
-            job.over = True
+        if not job.finished:
+            job.finished = True
             job.done(fault, arrived, reply)
--- a/mesh/proxy/sidecar.py
+++ b/mesh/proxy/sidecar.py
@@ -22,7 +22,7 @@
 from mesh.proxy.forwarder import Forwarder
 from mesh.proxy.ingress import Ingress
 from mesh.proxy.picker import Picker
-from mesh.proxy.server_beats import ServerBeats
+from mesh.proxy.server_beats import ServerHeartbeats
 from mesh.proxy.server_queue import ServerQueue
 from mesh.settings import Settings
 from mesh.state import configuration
@@ -48,7 +48,7 @@
         assert settings.app is not None
         self.context = context = ProxyContext(settings)
         self.server_queue = ServerQueue(context.loop, settings.app, MOST_SERVER_CONNECTIONS)
-        self.beats = ServerBeats(context, self.server_queue, self._tell_record)
+        self.beats = ServerHeartbeats(context, self.server_queue, self._tell_record)
         self.control = ControlClient(context, self.hear, self.beats.record)
         self.control.on_table = self._table_changed
         self.directory = Directory(context, self.hear)
@@ -76,17 +76,17 @@
             messages.LoadReport: forwarder.on_report,
             messages.SendBody: forwarder.send_body,
             messages.Overdue: forwarder.on_overdue,
-            messages.ClaimAnswer: control.key_claims.hear,
+            messages.ClaimAnswer: control.key_claims.on_claim_answer,
             messages.Items: control.hear_items,
             messages.Digest: control.hear_digest,
             messages.RecordsDigest: control.hear_records_digest,
             messages.InContact: control.hear_contact,
             messages.Controllers: control.hear_controllers,
             messages.CurrentVoters: control.hear_voters,
-            messages.NewerLifeKnown: lambda link, told: self.beats.outlive(told.life),
+            messages.NewerLifeKnown: lambda link, told: self.beats.ensure_newer_than(told.incarnation),
             messages.Endpoints: lambda link, told: directory.take_all(told.records),
             messages.RecordChanged: lambda link, told: directory.take_all((told.record,)),
-            messages.EndpointGone: lambda link, told: directory.lost_sight(told.node, told.life),
+            messages.EndpointGone: lambda link, told: directory.lost_sight(told.node, told.incarnation),
         }
 
     # --- what is known here
@@ -119,7 +119,11 @@
         settings = self.settings
         assert settings.outbound and settings.ready and settings.control
         self._server = await connection.listen(
-            settings.peer_address, self.hear, self._callers.add, self.caller_lost, connection.QUIET_S
+            settings.peer_address,
+            self.hear,
+            self._callers.add,
+            self.caller_lost,
+            connection.IDLE_PING_INTERVAL_S,
         )
         self.directory.start()
         open_server, most = http_server.open_http_server, MOST_LOCAL_CALLERS
@@ -129,7 +133,7 @@
         await open_server(settings.control, self.beats.serve, None, most)
         await open_server(settings.ready, self.readiness, None, most)
         record = self.beats.record()
-        self.directory.digest.take(record.node, record.life, record.number)  # controllers will hold it
+        self.directory.digest.take(record.node, record.incarnation, record.number)  # controllers will hold it
         self.control.start()
         logger.info("sidecar listens")
 
@@ -185,7 +189,7 @@
     def caller_lost(self, link: PeerConnection) -> None:
         """A connection that another sidecar has made has ended."""
         self._callers.discard(link)
-        self.calls.bodies.link_lost(link)
+        self.calls.bodies.on_connection_lost(link)
 
     def _tell_record(self) -> None:
         """Tell all that have to know what can be had here. Controllers tell it on; those that send calls here
@@ -196,17 +200,17 @@
         if not record.is_open or not self.control.following.controller:
             packed = pack(RecordChanged(record))
             for link in self._callers:
-                link.put(packed)
+                link.send_packed(packed)
 
     def _table_changed(self) -> None:
         """Another configuration is in force: the server's limits, and those of clients."""
         table, queue = self.control.table, self.server_queue
         cluster = table.clusters.get(self.settings.service)
         if cluster is not None:
-            queue.limit(cluster.max_conns)
+            queue.update_limits(cluster.max_conns)
             if not queue.instance and not self._probed:
                 self._probed = True
-                queue.probe(cluster.health, self.beats.adopt)
+                queue.probe(cluster.health, self.beats.adopt_instance)
         if self._outbound is not None:
             limits = table.limits
-            self._outbound.limit(limits.head, limits.body, limits.head_s, limits.idle_s)
+            self._outbound.update_limits(limits.head, limits.body, limits.head_s, limits.idle_s)
--- a/mesh/proxy/sidecar_figures.py
+++ b/mesh/proxy/sidecar_figures.py
@@ -20,7 +20,7 @@
     queue: ServerQueue,
 ) -> Iterator[Figure]:
     """All families of one sidecar."""
-    yield from forwarder.counts.figures()
+    yield from forwarder.counts.metrics()
     yield gauge("mesh_open_requests", "Requests that began here and have no answer.", context.open_requests)
     yield gauge("mesh_open_calls", "Calls for the server beside that have not ended.", context.open_calls)
     yield gauge("mesh_leaving", "1 once this sidecar has been told to end.", context.leaving)
@@ -33,8 +33,8 @@
 def _server(queue: ServerQueue) -> Iterator[Figure]:
     """The server beside."""
     calls: dict[Labels, float] = {
-        ("running",): float(queue.out),
-        ("waiting",): float(len(queue.queue)),
+        ("running",): float(queue.in_flight),
+        ("waiting",): float(len(queue.queued)),
         ("late",): float(len(queue.late)),
     }
     yield Figure(
@@ -43,8 +43,8 @@
     yield gauge("mesh_server_open", "1 while the server takes calls.", queue.open)
     yield gauge("mesh_server_slots", "What the server says it serves together.", queue.slots)
     yield gauge("mesh_server_budget", "Calls that may be at the server together.", queue.budget.limit)
-    yield gauge("mesh_server_failing", "Part of its calls that fail of late.", queue.failing())
-    yield gauge("mesh_server_call_seconds", "What a call takes there of late.", queue.mean)
+    yield gauge("mesh_server_failing", "Part of its calls that fail of late.", queue.failure_rate())
+    yield gauge("mesh_server_call_seconds", "What a call takes there of late.", queue.mean_service_s)
 
 
 def _control(control: ControlClient) -> Iterator[Figure]:
@@ -54,5 +54,5 @@
     yield gauge("mesh_following", "1 while a controller is followed.", bool(control.following.controller))
     yield gauge("mesh_items", "Items of the configuration in force here.", len(control.copy.items))
     yield gauge("mesh_voters_epoch", "The epoch of the voters whose grants count.", claims.voters.epoch)
-    yield gauge("mesh_key_claims_open", "Claims of keys without a verdict.", len(claims.open))
+    yield gauge("mesh_key_claims_open", "Claims of keys without a verdict.", len(claims.pending))
     yield counter("mesh_key_claims_timed_out", "Claims that took too long.", claims.timed_out)
--- a/mesh/transport/connection.py
+++ b/mesh/transport/connection.py
@@ -24,11 +24,13 @@
 MOST = 80 << 20  # bytes of one message
 ASK_S = 1.0  # after so long a silence the other side is asked
 DEAD_S = 2.4  # and after so long it is given up
-QUIET_S = 8.0  # the same for one of many on which nothing is waited for: asking would cost more than it tells
+IDLE_PING_INTERVAL_S = (
+    8.0  # the same for one of many on which nothing is waited for: asking would cost more than it tells
+)
 DIAL_S = 0.8
 FIRST_PAUSE_S, LAST_PAUSE_S = 0.05, 0.8
 
-Heard = Callable[["PeerConnection", Message], None]
+MessageHandler = Callable[["PeerConnection", Message], None]
 
 LENGTH_BYTES = 4
 WIDE_KIND = 24  # CBOR writes a whole number from here on behind a byte of its own
@@ -51,7 +53,7 @@
         kind = _kind_number(data, 0)
         self._received[kind] = self._received.get(kind, 0) + len(data) + LENGTH_BYTES
 
-    def figures(self) -> Iterator[Figure]:
+    def metrics(self) -> Iterator[Figure]:
         """All families."""
         values: dict[Labels, float] = {
             (direction, KINDS[kind].__name__ if kind in KINDS else OTHER): float(size)
@@ -84,7 +86,7 @@
 
     def __init__(
         self,
-        heard: Heard,
+        heard: MessageHandler,
         up: Callable[[PeerConnection], None],
         down: Callable[[PeerConnection], None],
         ask_s: float = ASK_S,
@@ -127,18 +129,18 @@
         self._out = []
         self._down(self)
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Close at once; what is on its way is lost."""
         if self._transport is not None:
             self._transport.abort()
         self._close()
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """When anything was heard last, by the loop's clock."""
         return self._at
 
-    def attend(self, more: int) -> None:
+    def expect_answers(self, more: int) -> None:
         """So many more answers are waited for here: while any is, the other side is asked as often as usual.
 
         A sidecar has a connection to each other one, and asking on all of them each second, whether anything
@@ -154,7 +156,7 @@
         quiet = self._loop.time() - max(self._at, self._since)
         ask_s = ASK_S if self._waits else self._ask_s
         if quiet >= ask_s * DEAD_S / ASK_S:
-            self.end()
+            self.abort()
             return
         if quiet >= ask_s * 0.95:
             self.send(Ping())
@@ -168,7 +170,7 @@
         while size - at >= 4:
             length = int.from_bytes(rest[at : at + 4], "big")
             if length > MOST:
-                self.end()
+                self.abort()
                 return
             if size - at - 4 < length:
                 break
@@ -178,7 +180,7 @@
                 message = decode(cbor2.loads(encoded))
             except Exception:
                 logger.warning("a message that can't be read; the connection is closed")
-                self.end()
+                self.abort()
                 return
             at += 4 + length
             self._take(message)
@@ -199,9 +201,9 @@
 
     def send(self, message: Message) -> None:
         """Write a message; what is sent to a closed connection is lost, which its owner has been told."""
-        self.put(pack(message))
+        self.send_packed(pack(message))
 
-    def put(self, packed: bytes) -> None:
+    def send_packed(self, packed: bytes) -> None:
         """The same for one that is packed already. What is written in one turn goes out together."""
         if not self.open:
             return
@@ -228,13 +230,13 @@
     return len(data).to_bytes(4, "big") + data
 
 
-class Dial:
+class Dialer:
     """Keeps one connection to an address, opened again whenever it has ended."""
 
     def __init__(
         self,
         address: Address,
-        heard: Heard,
+        heard: MessageHandler,
         up: Callable[[PeerConnection], None],
         down: Callable[[PeerConnection], None],
         ask_s: float = ASK_S,
@@ -252,9 +254,9 @@
         self._stopped = True
         self._task.cancel()
         if self.connection is not None:
-            self.connection.end()
+            self.connection.abort()
 
-    def hurry(self) -> None:
+    def retry_now(self) -> None:
         """The other side is there, as it has just said: don't wait for the next try."""
         self._hurried.set()
 
@@ -293,7 +295,7 @@
 
 async def listen(
     address: Address,
-    heard: Heard,
+    heard: MessageHandler,
     up: Callable[[PeerConnection], None],
     down: Callable[[PeerConnection], None],
     ask_s: float = ASK_S,
--- a/mesh/transport/http_server.py
+++ b/mesh/transport/http_server.py
@@ -28,7 +28,7 @@
         self.serve, self.hangup = serve, hangup
         self.max_body, self.max_head = MAX_BODY, MAX_HEAD  # of connections made from now on
 
-    def limit(self, head: int, body: int, head_s: float, idle_s: float) -> None:
+    def update_limits(self, head: int, body: int, head_s: float, idle_s: float) -> None:
         """What a client may send, and how long it may take or stay idle, in bytes and seconds."""
         self.max_head, self.max_body = head, body
         self.listener.patience(head_s, idle_s)
--- a/mesh/transport/messages.py
+++ b/mesh/transport/messages.py
@@ -36,7 +36,7 @@
     return crc32(cbor2.dumps(msgspec.to_builtins(rows, builtin_types=(bytes,))))
 
 
-def intact(rows: Sequence[Any], told: int | None) -> bool:
+def matches_checksum(rows: Sequence[Any], told: int | None) -> bool:
     """Whether rows are those that were sent, by the checksum that came with them. An older version tells
     none."""
     return told is None or told == checksum(rows)
@@ -58,15 +58,15 @@
     instance: str  # id of its server's life; empty: there is none
     slots: int
     is_open: bool  # whether it takes requests
-    cold_s: float  # how much longer its server is slow
-    life: int  # of the sidecar's process: later ones are greater
+    warm_up_s: float  # how much longer its server is slow
+    incarnation: int  # of the sidecar's process: later ones are greater
     number: int  # of this record in that life
     version: int = 0
 
     @property
     def order(self) -> tuple[int, int]:
         """Of two records of one node the greater order is the newer."""
-        return self.life, self.number
+        return self.incarnation, self.number
 
 
 # --- which processes there are
@@ -80,8 +80,8 @@
     controllers: tuple[str, ...]  # all that are known
     zone: str = ""
     voters_before: tuple[str, ...] = ()
-    whole: int = -1  # the epoch that its disk is whole in; -1: of a version that knows no epochs
-    lives: dict[str, int] = {}
+    caught_up_epoch: int = -1  # the epoch that its disk is whole in; -1: of a version that knows no epochs
+    incarnations: dict[str, int] = {}
     forgotten: dict[str, int] = {}  # by controller: the life that is over
 
 
@@ -97,7 +97,7 @@
 
     addresses: tuple[str, ...]
     zone: str  # of the sender
-    lives: dict[str, int] = {}
+    incarnations: dict[str, int] = {}
     forgotten: dict[str, int] = {}
 
 
@@ -128,13 +128,13 @@
     """Controller to sidecar: that life of a sidecar has not been seen for long."""
 
     node: str
-    life: int
+    incarnation: int
 
 
 class NewerLifeKnown(Message, frozen=True, tag=24):
     """Controller to sidecar: a record of its name and a later life is known."""
 
-    life: int
+    incarnation: int
 
 
 class RecordChanged(Message, frozen=True, tag=52):
@@ -146,7 +146,7 @@
 class Forgotten(Message, frozen=True, tag=67):
     """Controller to one that was forgotten with that life."""
 
-    life: int
+    incarnation: int
 
 
 # --- distribution of the configuration
@@ -295,7 +295,7 @@
     claim: int
     key: str
     token: str
-    left_s: float
+    remaining_s: float
     epoch: int = 1
 
 
@@ -418,14 +418,14 @@
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    left_s: float
-    aim_s: float
-    attempt: bytes
+    remaining_s: float
+    target_s: float
+    attempt_id: bytes
     key: str
     route: str
-    again: bool = False  # its client has spent time on it before
+    is_retry: bool = False  # its client has spent time on it before
     repeatable: bool = False
-    past_aim: bool = False
+    past_target: bool = False
     size: int = 0  # of a body that does not come with the call, but in chunks
     priority: int = 0  # rank of its route; 0 is the most urgent
 
@@ -448,7 +448,7 @@
     body: bytes
     wait_s: float = 0.0  # that a call waits there now
     work_s: float = 0.0  # that a call of this route takes there
-    failing: float = 0.0  # part of calls that fail there of late
+    failure_rate: float = 0.0  # part of calls that fail there of late
 
     @classmethod
     def failed(cls, number: int, error: ErrorKind, arrived: bool = False) -> ForwardAnswer:
@@ -472,7 +472,7 @@
     """Answer to `Forward`: so much of its body may be sent, from its beginning."""
 
     number: int
-    upto: int
+    end_offset: int
 
 
 class BodyChunk(Message, frozen=True, tag=55):
@@ -503,8 +503,8 @@
     is_open: bool  # whether it would be taken
     wait_s: float = 0.0
     work_s: float = 0.0
-    carry_s: float = 0.0  # that its body would be on its way
-    failing: float = 0.0
+    transfer_s: float = 0.0  # that its body would be on its way
+    failure_rate: float = 0.0
 
 
 class Ping(Message, frozen=True, tag=0):
--- a/mesh/transport/metrics_server.py
+++ b/mesh/transport/metrics_server.py
@@ -27,12 +27,12 @@
 Figures = Callable[[], Iterable[Figure]]
 
 
-def process_figures() -> Iterator[Figure]:
+def process_metrics() -> Iterator[Figure]:
     """What every process tells: processor, memory, bytes to other processes of the mesh."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     yield counter("mesh_process_cpu_seconds", "Processor time of this process.", time.process_time())
     yield gauge("mesh_process_peak_memory_bytes", "The most memory it has held.", used.ru_maxrss * 1024)
-    yield from traffic.figures()
+    yield from traffic.metrics()
 
 
 def render(figures: Iterable[Figure]) -> bytes:
@@ -56,7 +56,7 @@
     return bytes(generate_latest(registry))
 
 
-def read_place(text: str) -> tuple[int, str]:
+def parse_port_path(text: str) -> tuple[int, str]:
     """`PORT/PATH`, as the deploy file tells it; ValueError where it is not one."""
     port, slash, path = text.partition("/")
     if not slash or not port.isdigit() or not 0 <= int(port) < 65536:
@@ -64,17 +64,17 @@
     return int(port), f"/{path}"
 
 
-async def open_metrics(host: str, place: str, figures: Figures) -> None:
+async def start_metrics_server(host: str, place: str, figures: Figures) -> None:
     """Tell figures at `PORT/PATH` of a host. A process whose port is taken serves without them."""
-    port, path = read_place(place)
+    port, path = parse_port_path(place)
 
     def serve(message: Request) -> None:
         if message.method != b"GET" or message.target.partition(b"?")[0] != path.encode():
             message.answer(404)
             return
-        message.answer(200, render([*process_figures(), *figures()]), CONTENT_TYPE)
+        message.answer(200, render([*process_metrics(), *figures()]), CONTENT_TYPE)
 
     try:
         await open_http_server(Address(host, port), serve, None, MOST_CALLERS)
     except OSError as error:
-        logger.warning("no figures are told at port {}: {}", port, error.strerror)
+        logger.warning("metrics are not served at port {}: {}", port, error.strerror)
--- a/tests/mesh/calls_world.py
+++ b/tests/mesh/calls_world.py
@@ -242,7 +242,7 @@
             await role.start()
             role.control.take_items(ITEMS)
             if service == "meals":
-                role.server_queue.life(f"i-{name}", 8, 0.0, True)
+                role.server_queue.update_server(f"i-{name}", 8, 0.0, True)
             role.directory.take_all(self._record(other) for other in self.servers)
 
         process.run(main())
@@ -256,8 +256,8 @@
             instance=f"i-{name}",
             slots=8,
             is_open=True,
-            cold_s=0.0,
-            life=int(DAY * 1000),
+            warm_up_s=0.0,
+            incarnation=int(DAY * 1000),
             number=1,
             version=4,
         )
--- a/tests/mesh/fake_machines.py
+++ b/tests/mesh/fake_machines.py
@@ -353,7 +353,7 @@
     def __init__(self) -> None:
         self.listener = SimpleNamespace(last_requests=lambda: None, shut=lambda: None)
 
-    def limit(self, *figures: float) -> None:
+    def update_limits(self, *figures: float) -> None:
         pass
 
 
--- a/tests/mesh/mesh_world.py
+++ b/tests/mesh/mesh_world.py
@@ -1,6 +1,6 @@
 """A world of fake time for controllers and sidecars: a loop for each process, links and disks that can fail.
 
-Nothing is real but the roles' own code: `Controller`, `Sidecar` (as a claimant), `PeerConnection` and `Dial`
+Nothing is real but the roles' own code: `Controller`, `Sidecar` (a claimant), `PeerConnection` and `Dialer`
 run as they are. One clock is shared; it goes on only when no process has anything to do. Every delivery of a
 message and every sync of a disk has a number, and a fault may strike at any of them.
 """
--- a/tests/mesh/test_mesh_answers.py
+++ b/tests/mesh/test_mesh_answers.py
@@ -170,7 +170,7 @@
         super().__init__()
         self.loop = Loop()
         self.queue = ServerQueue(self.loop, Address("127.0.0.1", 9), 64)
-        self.queue.life("i-1", 9, 0.0, True)
+        self.queue.update_server("i-1", 9, 0.0, True)
         self.jobs: dict[bytes, Job] = {}
         self.ends: dict[bytes, list[tuple[ErrorKind | None, bool, Reply | None]]] = {}
         self.left: set[bytes] = set()  # callers that left before anything was sent
@@ -340,7 +340,7 @@
 
 def _gives_up_without_word(queue: ServerQueue, job: Job) -> None:
     """A caller that left is told its end, and its call stays in the queue."""
-    if not job.over:
+    if not job.finished:
         job.done(ErrorKind.REFUSED, False, None)
         job.done = lambda *told: None
 
--- a/tests/mesh/test_mesh_budget.py
+++ b/tests/mesh/test_mesh_budget.py
@@ -169,9 +169,9 @@
     for step, who, tries in events:
         now += step / 8
         spend = spends[who % sidecars]
-        spend.asked(now)
+        spend.record_request(now)
         asked.append(now)
-        spent += [now for _ in range(tries) if spend.take(now, sidecars)]
+        spent += [now for _ in range(tries) if spend.try_acquire(now, sidecars)]
 
     def count(times, end):
         return sum(end - window <= at <= end for at in times)
@@ -185,17 +185,17 @@
     spend = RetryBudget(0.2, 10.0, 0.0)
     given_ = 0
     for i in range(1000):
-        spend.asked(i / 10)
-        given_ += spend.take(i / 10, 5)
+        spend.record_request(i / 10)
+        given_ += spend.try_acquire(i / 10, 5)
     assert 80 <= given_ <= 200
 
 
 def test_with_no_requests_only_the_slack_is_given_and_comes_back_after_the_window():
     spend = RetryBudget(0.2, 10.0, 8.0)
-    assert [spend.take(0.0, 2) for _ in range(3)] == [True, True, False]
-    assert not spend.take(10.0, 2)
-    assert spend.take(10.1, 2)
-    assert not RetryBudget(0.2, 10.0, 0.0).take(0.0, 1)
+    assert [spend.try_acquire(0.0, 2) for _ in range(3)] == [True, True, False]
+    assert not spend.try_acquire(10.0, 2)
+    assert spend.try_acquire(10.1, 2)
+    assert not RetryBudget(0.2, 10.0, 0.0).try_acquire(0.0, 1)
 
 
 # --- the pick
--- a/tests/mesh/test_mesh_checksums.py
+++ b/tests/mesh/test_mesh_checksums.py
@@ -26,8 +26,8 @@
     checksum,
     decode,
     encode,
-    intact,
     kind_of,
+    matches_checksum,
 )
 
 VALUES = st.recursive(
@@ -45,10 +45,10 @@
 def test_a_checksum_is_the_same_where_rows_arrive(items, grants):
     sent = Items(1, tuple(items), checksum(items))
     found = decode(cbor2.loads(cbor2.dumps(encode(sent))))
-    assert isinstance(found, Items) and intact(found.items, found.checksum)
+    assert isinstance(found, Items) and matches_checksum(found.items, found.checksum)
     answer = GrantsAnswer(1, True, tuple(grants), 1, messages.Ballot(0, ""), False, checksum(grants))
     told = decode(cbor2.loads(cbor2.dumps(encode(answer))))
-    assert isinstance(told, GrantsAnswer) and intact(told.rows, told.checksum)
+    assert isinstance(told, GrantsAnswer) and matches_checksum(told.rows, told.checksum)
 
 
 @given(ROWS.filter(bool), st.data())
@@ -57,7 +57,7 @@
     other = items.copy()
     other[at] = items[at]._replace(version=items[at].version + 1)
     assert checksum(other) != checksum(items) and checksum(items[:at]) != checksum(items)
-    assert intact(other, None), "an older version tells no checksum"
+    assert matches_checksum(other, None), "an older version tells no checksum"
 
 
 @played
--- a/tests/mesh/test_mesh_chunked_transfer.py
+++ b/tests/mesh/test_mesh_chunked_transfer.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mesh.proxy.chunked_transfer import LEAST_WINDOW, PIECE, STUCK_S, Intake
+from mesh.proxy.chunked_transfer import LEAST_WINDOW, MAX_CHUNK_BYTES, STUCK_S, Intake
 
 NARROW = 2.65 * 125_000  # bytes a second
 
@@ -19,14 +19,14 @@
     whole = set()
     for step in range(100_000):
         for key, upto in intake.grants(step * 1e-4).items():
-            assert allowed[key] < upto <= sizes[key] and upto - allowed[key] <= window + PIECE
+            assert allowed[key] < upto <= sizes[key] and upto - allowed[key] <= window + MAX_CHUNK_BYTES
             allowed[key] = upto
-        assert sum(allowed) - sum(sent) < window + PIECE
+        assert sum(allowed) - sum(sent) < window + MAX_CHUNK_BYTES
         moving = [key for key in range(len(sizes)) if allowed[key] > sent[key]]
         if not moving:
             break
         key = chance.choice(moving)
-        piece = min(PIECE, allowed[key] - sent[key])
+        piece = min(MAX_CHUNK_BYTES, allowed[key] - sent[key])
         sent[key] += piece
         if intake.got(step * 1e-4, key, piece):
             whole.add(key)
@@ -54,7 +54,7 @@
 
 
 def test_a_wide_link_takes_bodies_with_their_requests():
-    assert Intake(1000 * 125_000).inline > 360_000 > Intake(NARROW).inline
+    assert Intake(1000 * 125_000).inline_limit > 360_000 > Intake(NARROW).inline_limit
     assert not Intake(NARROW).got(0.0, "unknown", 5)
 
 
--- a/tests/mesh/test_mesh_connection.py
+++ b/tests/mesh/test_mesh_connection.py
@@ -8,7 +8,7 @@
 from mesh_world import World
 
 from mesh.transport import connection
-from mesh.transport.connection import ASK_S, DEAD_S, QUIET_S, PeerConnection, pack
+from mesh.transport.connection import ASK_S, DEAD_S, IDLE_PING_INTERVAL_S, PeerConnection, pack
 from mesh.transport.messages import Pong
 
 
@@ -62,8 +62,11 @@
 
 
 def test_a_quiet_one_asks_seldom_and_is_given_up_all_the_same():
-    found = watched(QUIET_S, lambda made: asyncio.sleep(60.0))
-    assert found["asked"][0] == QUIET_S and QUIET_S * 2 <= found["down"] <= QUIET_S * 4
+    found = watched(IDLE_PING_INTERVAL_S, lambda made: asyncio.sleep(60.0))
+    assert (
+        found["asked"][0] == IDLE_PING_INTERVAL_S
+        and IDLE_PING_INTERVAL_S * 2 <= found["down"] <= IDLE_PING_INTERVAL_S * 4
+    )
 
 
 @pytest.mark.parametrize("idle_s", [0.5, 7.5, 20.0])
@@ -73,25 +76,25 @@
             await asyncio.sleep(0.5)
             made.data_received(pack(Pong()))
         began = asyncio.get_running_loop().time()
-        made.attend(1)
+        made.expect_answers(1)
         while made.open:
             await asyncio.sleep(0.1)
         assert asyncio.get_running_loop().time() < began + DEAD_S + 2 * ASK_S
 
-    assert "down" in watched(QUIET_S, story)
+    assert "down" in watched(IDLE_PING_INTERVAL_S, story)
 
 
 def test_after_the_answer_it_is_quiet_again():
     async def story(made):
         for _ in range(20):
-            made.attend(1)
+            made.expect_answers(1)
             await asyncio.sleep(0.02)
             made.data_received(pack(Pong()))
-            made.attend(-1)
-        await asyncio.sleep(QUIET_S - 1.5)
+            made.expect_answers(-1)
+        await asyncio.sleep(IDLE_PING_INTERVAL_S - 1.5)
 
-    assert len(watched(QUIET_S, story)["asked"]) <= 1
+    assert len(watched(IDLE_PING_INTERVAL_S, story)["asked"]) <= 1
 
 
 def test_the_figures_leave_room_for_an_answer():
-    assert ASK_S < DEAD_S < QUIET_S and connection.DIAL_S < DEAD_S
+    assert ASK_S < DEAD_S < IDLE_PING_INTERVAL_S and connection.DIAL_S < DEAD_S
--- a/tests/mesh/test_mesh_figures.py
+++ b/tests/mesh/test_mesh_figures.py
@@ -22,7 +22,7 @@
 from mesh.figures import MOST_SERIES, OTHER, LabelledCounts, gauge
 from mesh.transport.connection import Traffic, pack
 from mesh.transport.messages import ClaimAnswer, ClaimKey, Heartbeat
-from mesh.transport.metrics_server import process_figures, read_place, render
+from mesh.transport.metrics_server import parse_port_path, process_metrics, render
 
 
 def told(figures) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
@@ -58,7 +58,7 @@
     traffic.sent(wide)
     traffic.received(pack(ClaimAnswer(1, 1, "t", 0))[4:])
     traffic.received(b"")
-    values = {labels: size for figure in traffic.figures() for labels, size in figure.values.items()}
+    values = {labels: size for figure in traffic.metrics() for labels, size in figure.values.items()}
     assert values["sent", "Heartbeat"] == len(small) and values["sent", "ClaimKey"] == len(wide)
     assert values["received", "ClaimAnswer"] > 4 and values["received", OTHER] == 4
 
@@ -108,7 +108,7 @@
 
 
 def test_every_process_tells_its_processor_and_memory() -> None:
-    found = told([*process_figures(), gauge("mesh_x", "x", 1.0)])
+    found = told([*process_metrics(), gauge("mesh_x", "x", 1.0)])
     assert (
         found["mesh_process_cpu_seconds_total", ()] > 0 and found["mesh_process_peak_memory_bytes", ()] > 1e6
     )
@@ -117,11 +117,11 @@
 @pytest.mark.parametrize("text", ["", "9464", "x/metrics", "70000/metrics", "-1/metrics"])
 def test_a_place_that_is_none_is_told(text: str) -> None:
     with pytest.raises(ValueError, match="PORT/PATH"):
-        read_place(text)
+        parse_port_path(text)
 
 
 def test_a_place_is_port_and_path() -> None:
-    assert read_place("9464/metrics") == (9464, "/metrics") and read_place("1/") == (1, "/")
+    assert parse_port_path("9464/metrics") == (9464, "/metrics") and parse_port_path("1/") == (1, "/")
 
 
 def started(folder: Path, words: list[str]) -> tuple[subprocess.Popen[bytes], int]:
@@ -153,7 +153,7 @@
             finally:
                 process.send_signal(signal.SIGTERM)
                 _, said = process.communicate(timeout=START_S)
-            assert (b"no figures are told" in said) == (folder == "taken")
+            assert (b"metrics are not served" in said) == (folder == "taken")
 
 
 def test_a_wrong_place_ends_the_program_with_2(tmp_path: Path) -> None:
--- a/tests/mesh/test_mesh_offers.py
+++ b/tests/mesh/test_mesh_offers.py
@@ -10,7 +10,7 @@
 from wire import message
 
 from mesh.errors import ErrorKind
-from mesh.proxy.chunked_transfer import PIECE
+from mesh.proxy.chunked_transfer import MAX_CHUNK_BYTES
 from mesh.transport import messages
 from mesh.transport.messages import kind_of
 
@@ -156,7 +156,7 @@
     for upto in (10_000, 40_000, len(BODY)):
         scene.sidecar.hear(scene.links[node], message(kind_of(messages.SendBody), number, upto))
         pieces = [message[2] for _, message in said(scene, kind_of(messages.BodyChunk))]
-        assert b"".join(pieces) == BODY[:upto] and all(len(piece) <= PIECE for piece in pieces)
+        assert b"".join(pieces) == BODY[:upto] and all(len(piece) <= MAX_CHUNK_BYTES for piece in pieces)
 
 
 def test_a_body_is_sent_as_far_as_it_is_wanted():
@@ -195,7 +195,7 @@
 
 def _fetched(scene, left=5.0, aim=1.0):
     """A request for the server here, whose body is elsewhere."""
-    scene.sidecar.server_queue.life("i-1", 5, 0.0, True)
+    scene.sidecar.server_queue.update_server("i-1", 5, 0.0, True)
     jobs = []
     scene.sidecar.server_queue.submit = jobs.append
     link = Link("n2")
@@ -211,16 +211,17 @@
     while not jobs:
         word, number, upto = link.said[-1]
         assert (word, number) == (kind_of(messages.SendBody), 7) and at < upto
-        for start in range(at, upto, PIECE):
+        for start in range(at, upto, MAX_CHUNK_BYTES):
             scene.sidecar.hear(
-                link, message(kind_of(messages.BodyChunk), 7, BODY[start : min(start + PIECE, upto)])
+                link,
+                message(kind_of(messages.BodyChunk), 7, BODY[start : min(start + MAX_CHUNK_BYTES, upto)]),
             )
         at = upto
-    assert at == len(BODY) and jobs[0].make(1.0, "i-1").endswith(b"\r\n\r\n" + BODY)
+    assert at == len(BODY) and jobs[0].build_request(1.0, "i-1").endswith(b"\r\n\r\n" + BODY)
     assert (
         scene.sidecar.context.open_calls == 1
         and not scene.sidecar.calls.bodies.bodies
-        and not len(scene.sidecar.calls.bodies.intake)
+        and not len(scene.sidecar.calls.bodies.receive_window)
     )
 
 
@@ -299,7 +300,7 @@
     link, jobs = _fetched(scene)
     ((key, load),) = scene.sidecar.calls.bodies.bodies.items()
     scene.sidecar.hear(link, message(kind_of(messages.BodyChunk), 7, BODY[:got]))
-    scene.sidecar.calls.bodies.overtaken(key)
+    scene.sidecar.calls.bodies.expire(key)
     told = [ErrorKind(message[2]) for message in link.said if message[0] == kind_of(messages.ForwardAnswer)]
     assert (
         told == [ErrorKind.FULL] * given_back
@@ -331,7 +332,7 @@
     link, jobs = _fetched(scene)
     ((key, _),) = scene.sidecar.calls.bodies.bodies.items()
     scene.sidecar.hear(link, message(kind_of(messages.BodyChunk), 7, BODY[:40_000]))
-    scene.sidecar.calls.bodies.overtaken(key, True)
+    scene.sidecar.calls.bodies.expire(key, True)
     assert link.said[-1][:4] == [kind_of(messages.ForwardAnswer), 7, int(ErrorKind.FULL), False]
     assert not scene.sidecar.calls.bodies.bodies and scene.sidecar.context.open_calls == 0 and not jobs
 
@@ -370,10 +371,10 @@
 @played
 def _withdrawn(scene):
     sidecar, link = scene.sidecar, Link("n2")
-    sidecar.server_queue.life("i-1", 5, 0.0, True)
+    sidecar.server_queue.update_server("i-1", 5, 0.0, True)
     budget = sidecar.server_queue.budget
-    budget.max_steps, sidecar.server_queue.out = budget.steps, budget.limit  # all are at work
-    sidecar.server_queue.mean = 0.001
+    budget.max_steps, sidecar.server_queue.in_flight = budget.steps, budget.limit  # all are at work
+    sidecar.server_queue.mean_service_s = 0.001
     sidecar.hear(link, message(kind_of(messages.Forward), 7, _call(True)))
     sidecar.hear(link, message(kind_of(messages.Forward), 8, _call(True)))
     sidecar.hear(link, message(kind_of(messages.Cancel), 9))
--- a/tests/mesh/test_mesh_request_age.py
+++ b/tests/mesh/test_mesh_request_age.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mesh.proxy.request_age import SPAN, SURE, RequestAges
+from mesh.proxy.request_age import MIN_SAMPLES, SPAN, RequestAges
 
 
 def heard(*lefts, timeout=3.0):
@@ -16,7 +16,7 @@
 
 
 def test_a_first_try_has_spent_nothing_and_a_later_one_what_it_lacks():
-    ages, found = heard(*[3.0] * SURE)
+    ages, found = heard(*[3.0] * MIN_SAMPLES)
     assert set(found) == {0.0}
     assert ages.age(1.2, 3.0) == pytest.approx(1.8)
 
@@ -27,9 +27,9 @@
 
 
 def test_a_time_out_that_was_raised_makes_no_request_old():
-    ages, _ = heard(*[3.0] * SURE)
+    ages, _ = heard(*[3.0] * MIN_SAMPLES)
     assert ages.age(3.0, 4.5) == 0.0
-    fresh, _ = heard(*[3.0] * SURE, timeout=4.5)
+    fresh, _ = heard(*[3.0] * MIN_SAMPLES, timeout=4.5)
     assert fresh.age(3.0, 4.5) == 0.0, "once clients have shown that they did not follow"
 
 
--- a/tests/mesh/test_mesh_rules.py
+++ b/tests/mesh/test_mesh_rules.py
@@ -42,7 +42,7 @@
     ear = scene.ask("effectful", deadline=deadline)
     ((offer),) = scene.sidecar.forwarder.offers.values()
     timer = offer.request.timer
-    assert timer.when() - offer.request.began <= timeout_s
+    assert timer.when() - offer.request.started_at <= timeout_s
     timer._run()
     assert ear.status == 504 and scene.sidecar.context.open_requests == 0
     scene.sidecar.close()
@@ -85,7 +85,7 @@
     for number in (2, 99):
         assert (await call(made.beats.serve, "put", INSTANCE, {**beat, "call_seq": number})).status == 200
         assert not made.server_queue.instance
-    made.beats.adopt("i-1")  # what its health answer says is a hint
+    made.beats.adopt_instance("i-1")  # what its health answer says is a hint
     assert not made.server_queue.instance
     assert (await call(made.beats.serve, "put", "/-/instances/i-2", beat)).status == 200
     assert made.server_queue.instance == "i-2", "the next life is another"
--- a/tests/mesh/test_mesh_server_queue.py
+++ b/tests/mesh/test_mesh_server_queue.py
@@ -75,7 +75,7 @@
     loop = Clock()
     made = ServerQueue(loop, Address("127.0.0.1", 9), 64)
     made.upstream = Wire()
-    made.life("i-1", 4, 0.0, True)
+    made.update_server("i-1", 4, 0.0, True)
     made.budget.steps = 1
     made.budget.max_steps = 1
     yield made
@@ -101,7 +101,7 @@
 
 
 def test_who_is_due_first_goes_first_and_equals_go_in_order(server_queue):
-    server_queue.mean = 0.001
+    server_queue.mean_service_s = 0.001
     for name, due in (("running", 1), ("slow", 5), ("call", 0.5), ("second", 5), ("third", 5)):
         server_queue.submit(job(server_queue, name, due))
     seen = names(server_queue)
@@ -112,7 +112,7 @@
 
 
 def test_what_cannot_be_in_time_steps_back_behind_all_that_can(server_queue):
-    server_queue.mean = 0.001
+    server_queue.mean_service_s = 0.001
     server_queue.submit(job(server_queue, "running", 1))
     server_queue.submit(job(server_queue, "late", 0.1, last=5))
     server_queue._loop.now += 0.2
@@ -125,7 +125,7 @@
 
 def test_what_waits_past_its_last_start_is_given_back_unsent(server_queue):
     told = []
-    server_queue.mean = 0.001
+    server_queue.mean_service_s = 0.001
     server_queue.submit(job(server_queue, "running", 1))
     server_queue.submit(job(server_queue, "late", 0.1, last=0.3, told=told))
     server_queue._loop.now += 0.31
@@ -136,17 +136,17 @@
 def test_who_would_wait_too_long_is_given_back_at_once(server_queue):
     told = []
     server_queue.submit(job(server_queue, "running", 1))
-    server_queue.mean = 1.0
+    server_queue.mean_service_s = 1.0
     server_queue.submit(job(server_queue, "hopeless", 0.2, told=told))
     assert told == [("hopeless", ErrorKind.FULL, False)]
 
 
 def test_from_the_word_that_it_drains_on_nothing_goes_and_what_waits_is_given_back(server_queue):
     told = []
-    server_queue.mean = 0.001
+    server_queue.mean_service_s = 0.001
     server_queue.submit(job(server_queue, "running", 1, told=told))
     server_queue.submit(job(server_queue, "waiting", 1, told=told))
-    server_queue.life("i-1", 4, 0.0, False)
+    server_queue.update_server("i-1", 4, 0.0, False)
     assert told == [("waiting", ErrorKind.LEAVING, False)]
     server_queue.submit(job(server_queue, "later", 1, told=told))
     assert told[-1] == ("later", ErrorKind.LEAVING, False) and names(server_queue) == ["running"]
@@ -187,7 +187,7 @@
     server_queue.submit(job(server_queue, "a", 1, told=told))
     server_queue.upstream.sent[0].reply(421, [(b"x-instance-id", b"i-2")])
     assert told == [("a", ErrorKind.LEAVING, True)] and found == ["i-2"]
-    assert server_queue.instance == "" and "i-1" in server_queue.over
+    assert server_queue.instance == "" and "i-1" in server_queue.ended_instances
 
 
 def test_resets_lower_k_to_zero_and_one_trial_brings_it_back(server_queue):
@@ -207,9 +207,13 @@
 
 
 def test_a_warm_server_begins_at_half_of_its_slots_and_a_cold_one_at_one(server_queue):
-    server_queue.life("i-2", 8, 0.0, True)
-    assert server_queue.budget.steps == 4 and server_queue.instance == "i-2" and "i-1" in server_queue.over
-    server_queue.life("i-3", 8, 2.0, True)
+    server_queue.update_server("i-2", 8, 0.0, True)
+    assert (
+        server_queue.budget.steps == 4
+        and server_queue.instance == "i-2"
+        and "i-1" in server_queue.ended_instances
+    )
+    server_queue.update_server("i-3", 8, 2.0, True)
     assert server_queue.budget.steps == 1
 
 
@@ -239,7 +243,7 @@
     answered(server_queue, "kind", 0.1)
     told = []
     one = job(server_queue, "kind", 5)
-    one.overdue = lambda: told.append("overdue")
+    one.on_overdue = lambda: told.append("overdue")
     server_queue.submit(one)
     at, callback, args = server_queue._loop.timers[-1]
     assert at - server_queue._loop.now == pytest.approx(0.4) and not told
@@ -260,19 +264,19 @@
 
 def test_a_server_that_fails_part_of_its_calls_is_known_by_them_and_it_fades(server_queue):
     _calls(server_queue, 200, 20)
-    assert server_queue.failing() == 0.0
+    assert server_queue.failure_rate() == 0.0
     for _ in range(30):
         _calls(server_queue, 500, 1)
         _calls(server_queue, 200, 1)
-    bad = server_queue.failing()
+    bad = server_queue.failure_rate()
     assert 0.3 < bad < 0.7
     server_queue._loop.now += 30.0
-    assert server_queue.failing() < bad / 500, "who gets no calls for it can't show that it is well"
+    assert server_queue.failure_rate() < bad / 500, "who gets no calls for it can't show that it is well"
     server_queue.submit(job(server_queue, "broken", 9))
     server_queue.upstream.sent[0].end(AttemptOutcome.RESET)
-    assert server_queue.failing() > 0.05
-    server_queue.life("i-2", 4, 0.0, True)
-    assert server_queue.failing() == 0.0, "another process is another server"
+    assert server_queue.failure_rate() > 0.05
+    server_queue.update_server("i-2", 4, 0.0, True)
+    assert server_queue.failure_rate() == 0.0, "another process is another server"
 
 
 def test_a_failure_that_comes_soon_makes_nobody_look_fast(server_queue):
@@ -315,7 +319,9 @@
     k = server_queue.budget.steps
     server_queue.withdraw(first)
     assert told == [("a", ErrorKind.BROKEN, True)] and names(server_queue) == ["b"]
-    assert server_queue.failing() == 0.0 and server_queue.budget.steps == k and server_queue.out == 1
+    assert (
+        server_queue.failure_rate() == 0.0 and server_queue.budget.steps == k and server_queue.in_flight == 1
+    )
 
 
 def test_one_that_may_not_runs_on(server_queue):
@@ -350,10 +356,10 @@
 def test_a_more_urgent_call_takes_the_place_of_a_less_urgent_one(server_queue):
     told = []
     server_queue.submit(job(server_queue, "running", 9))
-    server_queue.mean = 1.0
+    server_queue.mean_service_s = 1.0
     for at in range(3):
         server_queue.submit(ranked(server_queue, f"low {at}", 3.5 + at / 10, 2, told))
-    assert not told and len(server_queue.queue) == 3
+    assert not told and len(server_queue.queued) == 3
     server_queue.submit(ranked(server_queue, "equal", 3.8, 2, told))
     assert told.pop() == ("equal", ErrorKind.FULL, False), "among equals who is there stays"
     server_queue.submit(ranked(server_queue, "urgent", 3.8, 1, told))
@@ -370,7 +376,7 @@
     told = []
     server_queue.submit(job(server_queue, "running", 9))
     server_queue._means = {"light": (0.01, 5), "heavy": (1.0, 5)}
-    server_queue.mean = 1.0
+    server_queue.mean_service_s = 1.0
     for _ in range(3):
         made = ranked(server_queue, "light", 3.5, 2, told)
         server_queue.submit(made)
--- a/tests/mesh/test_mesh_sidecar.py
+++ b/tests/mesh/test_mesh_sidecar.py
@@ -11,8 +11,8 @@
 from hollyport.http.message import Message
 from mesh import settings
 from mesh.errors import ANSWERS, PROMISES, ErrorKind
-from mesh.proxy.call_runner import judge
-from mesh.proxy.request_age import SURE
+from mesh.proxy.call_runner import classify_reply
+from mesh.proxy.request_age import MIN_SAMPLES
 from mesh.proxy.sidecar import Sidecar
 from mesh.state import configuration
 from mesh.state.quorum import Voters
@@ -77,13 +77,13 @@
     def __init__(self, peer=""):
         self.said, self.peer, self.waits = [], peer, 0
 
-    def attend(self, more):
+    def expect_answers(self, more):
         self.waits += more
 
     def send(self, message):
         self.said.append(encode(message))
 
-    def put(self, packed):
+    def send_packed(self, packed):
         self.said.append(packed)
 
 
@@ -286,7 +286,7 @@
 
 @played
 def _past(scene):
-    for _ in range(SURE):
+    for _ in range(MIN_SAMPLES):
         scene.ask("pure", deadline=b"800")
     scene.ask("pure", deadline=b"790")
     scene.ask("pure", deadline=b"100")
@@ -315,7 +315,7 @@
 def _keyless(scene):
     sent = []
     sidecar = scene.sidecar
-    sidecar.server_queue.life("i-1", 5, 0.0, True)
+    sidecar.server_queue.update_server("i-1", 5, 0.0, True)
     sidecar.control.key_claims.voters = Voters(1, ("b1", "b2", "b3"))
     call = Call("berths", "c", b"POST", b"/x", [], b"", 1.0, 0.2, b"t", "key", "k")
     link = Link()
@@ -324,7 +324,7 @@
     assert [(type(told), told.number, ErrorKind(told.error)) for told in sent] == [
         (ForwardAnswer, 7, ErrorKind.REFUSED)
     ]
-    assert sidecar.context.open_calls == 0 and not sidecar.control.key_claims.open
+    assert sidecar.context.open_calls == 0 and not sidecar.control.key_claims.pending
 
 
 def test_without_controllers_a_keyed_request_is_given_back_at_once_and_unrun():
@@ -363,12 +363,12 @@
 @played
 def _versions(scene, ask, left_out):
     sidecar = scene.sidecar
-    sidecar.server_queue.life("i-1", 5, 0.0, True)
+    sidecar.server_queue.update_server("i-1", 5, 0.0, True)
     sent = []
     sidecar.server_queue.submit = sent.append
     row = [*ask[:left_out], *([False, 0, 0, "more"] if left_out is None else [])]
     sidecar.hear(Link(), message(kind_of(Forward), 1, row))
-    assert len(sent) == 1 and sent[0].overdue is None
+    assert len(sent) == 1 and sent[0].on_overdue is None
 
 
 @pytest.mark.parametrize("left_out", [None, -1, -2])
@@ -392,7 +392,7 @@
     ],
 )
 def test_only_the_server_s_own_whole_answer_passes(status, headers, whole):
-    assert (judge(None, Reply(status, headers, b"")) is None) == whole
+    assert (classify_reply(None, Reply(status, headers, b"")) is None) == whole
 
 
 def test_each_kind_of_fault_has_an_answer_and_promises_are_statuses_that_promise():
--- a/tests/mesh/test_mesh_subset.py
+++ b/tests/mesh/test_mesh_subset.py
@@ -181,7 +181,7 @@
             def stop(self):
                 dials.open.discard(self.node)
 
-        monkeypatch.setattr(directory_module, "Dial", Stub)
+        monkeypatch.setattr(directory_module, "Dialer", Stub)
 
     def connect(self, directory, besides=()):
         for node in self.open - set(directory.links) - set(besides):
--- a/tests/mesh/test_mesh_voters.py
+++ b/tests/mesh/test_mesh_voters.py
@@ -806,7 +806,7 @@
     def __init__(self) -> None:
         self.sent: list[Any] = []
         self.send = lambda made: self.sent.append(cbor2.loads(pack(made)[4:]))
-        self.put = lambda packed: self.sent.append(cbor2.loads(packed[4:]))
+        self.send_packed = lambda packed: self.sent.append(cbor2.loads(packed[4:]))
 
 
 def in_contact(controller: Controller) -> None:
