--- a/mesh/proxy/call_runner.py
+++ b/mesh/proxy/call_runner.py
@@ -1,4 +1,4 @@
-"""Runs calls at the server beside this sidecar: those of other sidecars, and those that began here."""
+"""Runs calls of this sidecar and of others at the local server."""
 
 from __future__ import annotations
 
@@ -19,87 +19,94 @@
 from mesh.transport.connection import PeerConnection
 from mesh.transport.messages import Call, Cancel, Forward, ForwardAnswer, LoadQuery, LoadReport, Overdue
 
-LEAST_CLAIM_S = 0.08  # how long a claim may take in any case before its call is given back
-PATIENCE = 0.25  # part of a request's aim that it may wait unsent at no price
-SCATTER = 2.0  # times the mean that a call may take and still be in time
-BEYOND_AIM = 1.5  # times its aim that a request may wait unsent
-MOST_WAIT_PART = 0.3  # of a request's time that it may wait unsent at one server
-RETURNED_PART = 0.5  # of the usual patience that puts a returning request in front
+MIN_CLAIM_TIMEOUT_S = 0.08
+FREE_WAIT_FRACTION = 0.25  # fraction of its target latency that a call may always wait in the queue
+SERVICE_TIME_SPREAD = 2.0  # multiple of the mean service time by which most calls are answered
+MAX_WAIT_TARGET_FACTOR = 1.5  # multiple of its target latency that a call may wait in the queue
+MAX_WAIT_FRACTION = 0.3  # fraction of its remaining time that a call may wait in the queue of one server
+RETRY_WAIT_FRACTION = 0.5  # fraction of the usual wait that a retried request gets, so that it goes first
 ERROR_OF = {Verdict.AT_WORK: ErrorKind.AT_WORK, Verdict.LOST: ErrorKind.LOST_KEY}
-NO_PROMISE = frozenset({408, 421, 429, 503})  # from a server that does not say X-Not-Run: it may have run
+MAY_HAVE_RUN_STATUSES = frozenset({408, 421, 429, 503})  # unless the answer has X-Not-Run
 
-Answered = Callable[[ForwardAnswer], None]
+OnAnswer = Callable[[ForwardAnswer], None]
 
 
 class CallRunner:
-    """All calls for the server beside one sidecar."""
+    """The calls for the local server of one sidecar."""
 
     def __init__(self, context: ProxyContext, queue: ServerQueue, key_claims: KeyClaims) -> None:
         self._context, self._queue, self._key_claims = context, queue, key_claims
-        self.bodies = BodyReceiver(context, self._run_remote, self._give_back)
-        self.jobs: dict[CallId, Job] = {}  # calls without a key
+        self.bodies = BodyReceiver(context, self._run_remote, self._reject)
+        self.jobs: dict[CallId, Job] = {}  # calls without an idempotency key
 
-    # --- what other sidecars ask
+    # --- messages of other sidecars
 
-    def on_forward(self, link: PeerConnection, asked: Forward) -> None:
-        """Another sidecar sends a call."""
-        number, call = asked.number, asked.call
+    def on_forward(self, connection: PeerConnection, request: Forward) -> None:
+        """Handles a call of another sidecar."""
+        number, call = request.number, request.call
         if not call.size:
-            self._run_remote(link, number, call)
+            self._run_remote(connection, number, call)
         elif not self._queue.open or call.service != self._context.settings.service:
-            link.send(ForwardAnswer.failed(number, ErrorKind.LEAVING))
+            connection.send(ForwardAnswer.failed(number, ErrorKind.LEAVING))
         else:
-            self.bodies.fetch(link, number, call, _most_wait_s(call))
+            self.bodies.fetch(connection, number, call, _max_wait_s(call))
 
-    def on_cancel(self, link: PeerConnection, told: Cancel) -> None:
-        """The client of a call has left."""
-        call_id = (link, told.number)
+    def on_cancel(self, connection: PeerConnection, message: Cancel) -> None:
+        """Handles the cancellation of a call of another sidecar."""
+        call_id = (connection, message.number)
         if self.bodies.drop(call_id):
-            link.send(ForwardAnswer.failed(told.number, ErrorKind.REFUSED))
+            connection.send(ForwardAnswer.failed(message.number, ErrorKind.REFUSED))
         else:
             self._withdraw(call_id)
 
-    def on_load_query(self, link: PeerConnection, asked: LoadQuery) -> None:
-        """Another sidecar asks how a call would fare here."""
-        link.send(self.load_report(asked.number, asked.route, asked.size))
+    def on_load_query(self, connection: PeerConnection, query: LoadQuery) -> None:
+        """Reports the local load to another sidecar."""
+        connection.send(self.load_report(query.number, query.route, query.size))
 
     def load_report(self, number: int, route: str, size: int) -> LoadReport:
-        """How a call would fare here."""
-        queue, way_s = self._queue, self.bodies.way_s(size)
+        """Returns the load at the local server for a call of a route with a body of `size` bytes."""
+        queue, transfer_s = self._queue, self.bodies.expected_transfer_s(size)
         return LoadReport(
-            number, queue.takes_calls(), queue.wait(), queue.pace(route), way_s, queue.failure_rate()
+            number,
+            queue.accepts_calls(),
+            queue.expected_wait_s(),
+            queue.measured_service_s(route),
+            transfer_s,
+            queue.failure_rate(),
         )
 
-    def _run_remote(self, link: PeerConnection, number: int, call: Call) -> None:
-        def answered(answer: ForwardAnswer) -> None:
-            link.send(self._with_load(answer, call.route))
+    def _run_remote(self, connection: PeerConnection, number: int, call: Call) -> None:
+        def on_answer(answer: ForwardAnswer) -> None:
+            connection.send(self._with_load(answer, call.route))
 
-        self._run(call, (link, number), answered, lambda: link.send(Overdue(number)))
+        self._run(call, (connection, number), on_answer, lambda: connection.send(Overdue(number)))
 
-    def _give_back(self, link: PeerConnection, number: int, call: Call) -> None:
-        link.send(self._with_load(ForwardAnswer.failed(number, ErrorKind.FULL), call.route))
+    def _reject(self, connection: PeerConnection, number: int, call: Call) -> None:
+        connection.send(self._with_load(ForwardAnswer.failed(number, ErrorKind.FULL), call.route))
 
     def _with_load(self, answer: ForwardAnswer, route: str) -> ForwardAnswer:
-        """What each answer tells of the server here besides: seconds that a call waits, and works; the part
-        of calls that fail here of late."""
+        """Returns an answer with the current load of the local server added."""
         queue = self._queue
         return msgspec.structs.replace(
-            answer, wait_s=queue.wait(), work_s=queue.pace(route), failure_rate=queue.failure_rate()
+            answer,
+            wait_s=queue.expected_wait_s(),
+            work_s=queue.measured_service_s(route),
+            failure_rate=queue.failure_rate(),
         )
 
-    # --- what this sidecar's own requests ask
+    # --- calls of this sidecar
 
     @property
     def inline_limit(self) -> int:
-        """Bytes of a body that goes with its call."""
+        """Maximum bytes of a body that is sent within its call."""
         return self.bodies.receive_window.inline_limit
 
-    def run_local(self, number: int, call: Call, answered: Answered, overdue: Callable[[], None]) -> None:
-        """Run a call that began here."""
-        self._run(call, (None, number), answered, overdue)
+    def run_local(self, number: int, call: Call, on_answer: OnAnswer, on_overdue: Callable[[], None]) -> None:
+        """Runs a call of this sidecar."""
+        self._run(call, (None, number), on_answer, on_overdue)
 
     def withdraw_local(self, number: int) -> None:
-        """Nobody waits any more for a call that began here."""
+        """Cancels a call of this sidecar."""
         self._withdraw((None, number))
 
     def _withdraw(self, call_id: CallId) -> None:
@@ -109,74 +116,98 @@
 
     # --- running
 
-    def _run(self, call: Call, call_id: CallId, answered: Answered, overdue: Callable[[], None]) -> None:
-        """Have a call run by the server; `answered` hears its end once."""
+    def _run(self, call: Call, call_id: CallId, on_answer: OnAnswer, on_overdue: Callable[[], None]) -> None:
+        """Submits a call to the queue of the local server; `on_answer` is called once with the result."""
         queue, context = self._queue, self._context
         if call.service != context.settings.service or not queue.open:
-            answered(ForwardAnswer.failed(call_id[1], ErrorKind.LEAVING))
+            on_answer(ForwardAnswer.failed(call_id[1], ErrorKind.LEAVING))
             return
         context.open_calls += 1
         token = f"{context.me}/{context.life}/{context.fresh()}" if call.key else ""
-        ended = partial(self._ended, call, call_id, token, answered)
+        on_done = partial(self._on_done, call, call_id, token, on_answer)
         now = context.now()
-        due, last = self._latest_starts(now, call)
-        job = Job(_maker(call), call.attempt_id, now + call.remaining_s, due, last, ended, call.route)
+        due_at, latest_start_at = self._latest_starts(now, call)
+        job = Job(
+            _request_builder(call),
+            call.attempt_id,
+            now + call.remaining_s,
+            due_at,
+            latest_start_at,
+            on_done,
+            call.route,
+        )
         job.priority = call.priority
         if call.repeatable:
-            job.on_overdue, job.repeatable = overdue, True
+            job.on_overdue, job.repeatable = on_overdue, True
         if call.key:
-            self.claim(call_id[1], call.key, token, call.remaining_s, _claim_limit_s(call), job, answered)
+            self.claim(call_id[1], call.key, token, call.remaining_s, _claim_timeout_s(call), job, on_answer)
         else:
             self.jobs[call_id] = job
             queue.submit(job)
 
     def _latest_starts(self, now: float, call: Call) -> tuple[float, float]:
-        """The last start for an answer that is most likely within the aim, as times scatter, and the last
-        for one at all: a part of what is left, as a client that is refused may still be served elsewhere,
-        and little beyond the aim, as what waits for long makes all behind it late."""
-        most = now + _most_wait_s(call)
-        # What was lost for longer than its aim, as while everybody was down, is worth less than any that can
-        # be in time: it goes when none of those waits.
+        """Returns the due time and the latest start of a call.
+
+        A call that starts by its due time is likely to be answered within its target latency, given the
+        spread of service times. The latest start is bounded by a fraction of the remaining time, as a
+        rejected call may still be served elsewhere, and by a multiple of the target latency, as long waits
+        make all later calls late.
+        """
+        latest_start_at = now + _max_wait_s(call)
+        # A call past its target latency, as after an outage, is worth less than any that can still meet it:
+        # it is sent when none of those is waiting.
         if call.past_target:
-            return now, max(now, most)
-        wait_s = max(call.target_s - SCATTER * self._queue.takes(call.route), call.target_s * PATIENCE)
-        # Whoever was refused before goes first: refused once more, its client has waited for nothing.
-        wait_s *= RETURNED_PART if call.is_retry else 1.0
-        due = now + min(wait_s, call.remaining_s * MOST_WAIT_PART)
-        return due, max(due, most)
-
-    def _ended(
+            return now, max(now, latest_start_at)
+        wait_s = max(
+            call.target_s - SERVICE_TIME_SPREAD * self._queue.expected_service_s(call.route),
+            call.target_s * FREE_WAIT_FRACTION,
+        )
+        # Retried requests go first: if rejected again, their clients would have waited in vain.
+        wait_s *= RETRY_WAIT_FRACTION if call.is_retry else 1.0
+        due_at = now + min(wait_s, call.remaining_s * MAX_WAIT_FRACTION)
+        return due_at, max(due_at, latest_start_at)
+
+    def _on_done(
         self,
         call: Call,
         call_id: CallId,
         token: str,
-        answered: Answered,
+        on_answer: OnAnswer,
         error: ErrorKind | None,
         arrived: bool,
         reply: Reply | None,
     ) -> None:
-        """The server has answered a call, or will not."""
+        """Handles the result of a call at the local server."""
         self._context.open_calls -= 1
         self.jobs.pop(call_id, None)
-        found = classify_reply(error, reply)
+        final_error = classify_reply(error, reply)
         if call.key:
-            self.close_key(call.key, token, found, reply)
-        if found is not None or reply is None:
-            answered(ForwardAnswer.failed(call_id[1], found or ErrorKind.BROKEN, arrived))
+            self.close_key(call.key, token, final_error, reply)
+        if final_error is not None or reply is None:
+            on_answer(ForwardAnswer.failed(call_id[1], final_error or ErrorKind.BROKEN, arrived))
         else:
             headers = heads.returned(reply.headers)
-            answered(ForwardAnswer(call_id[1], 0, arrived, reply.status, headers, reply.body))
+            on_answer(ForwardAnswer(call_id[1], 0, arrived, reply.status, headers, reply.body))
 
-    # --- operations with a key
+    # --- calls with an idempotency key
 
     def claim(
-        self, number: int, key: str, token: str, left_s: float, limit_s: float, job: Job, answered: Answered
+        self,
+        number: int,
+        key: str,
+        token: str,
+        remaining_s: float,
+        timeout_s: float,
+        job: Job,
+        on_answer: OnAnswer,
     ) -> None:
-        """Have a key granted by enough controllers; only then the call may go. Where that takes long, as
-        behind a cut, the call is given back for another sidecar to try, and for a while all others at
-        once."""
+        """Claims an idempotency key and submits the job once enough controllers have granted it.
+
+        If that takes too long, as during a network partition, the call is rejected so that another sidecar
+        can try, and for a while further calls with keys are rejected at once.
+        """
 
-        def decided(verdict: Verdict, answer: Any) -> None:
+        def on_decision(verdict: Verdict, answer: Any) -> None:
             if verdict == Verdict.RUN:
                 self._queue.submit(job)
                 return
@@ -184,61 +215,61 @@
             if verdict == Verdict.REPEAT:
                 status, headers, body = answer
                 pairs = [(bytes(name), bytes(value)) for name, value in headers]
-                answered(ForwardAnswer(number, 0, False, status, pairs, body))
+                on_answer(ForwardAnswer(number, 0, False, status, pairs, body))
             else:
-                answered(ForwardAnswer.failed(number, ERROR_OF.get(verdict, ErrorKind.REFUSED)))
+                on_answer(ForwardAnswer.failed(number, ERROR_OF.get(verdict, ErrorKind.REFUSED)))
 
         if self._key_claims.paused:
             self._context.open_calls -= 1
-            answered(ForwardAnswer.failed(number, ErrorKind.REFUSED))
+            on_answer(ForwardAnswer.failed(number, ErrorKind.REFUSED))
         else:
-            self._key_claims.claim(key, token, left_s, limit_s, decided)
+            self._key_claims.claim(key, token, remaining_s, timeout_s, on_decision)
 
     def close_key(self, key: str, token: str, error: ErrorKind | None, reply: Reply | None) -> None:
-        """An operation with a key is over."""
+        """Reports the result of the operation of a key to the controllers."""
         if error is None and reply is not None:
             answer = [reply.status, heads.returned(reply.headers), reply.body]
-            self._key_claims.done(key, token, answer)
+            self._key_claims.report_done(key, token, answer)
         elif error in PROMISES:
-            self._key_claims.free(key, token)
+            self._key_claims.release(key, token)
         else:
-            self._key_claims.broke(key, token)
+            self._key_claims.report_broken(key, token)
 
 
 def classify_reply(error: ErrorKind | None, reply: Reply | None) -> ErrorKind | None:
-    """What a client may be told of an outcome; None where the reply is the server's whole answer."""
+    """Returns the error of a call, or None if the reply is a complete answer of the server."""
     if error is not None or reply is None:
         return error or ErrorKind.BROKEN
-    coded = reply.header(b"content-encoding") is not None
-    sealed = reply.header(b"x-server-seal") is not None
-    if (200 <= reply.status < 300 and not sealed) or coded or reply.status in NO_PROMISE:
+    is_encoded = reply.header(b"content-encoding") is not None
+    is_sealed = reply.header(b"x-server-seal") is not None
+    if (200 <= reply.status < 300 and not is_sealed) or is_encoded or reply.status in MAY_HAVE_RUN_STATUSES:
         return ErrorKind.BROKEN
     if reply.status < 200 or 300 <= reply.status < 400:
         return ErrorKind.BROKEN
     return None
 
 
-def _most_wait_s(call: Call) -> float:
-    """How long a call may wait unsent at one server."""
-    return min(call.remaining_s * MOST_WAIT_PART, call.target_s * BEYOND_AIM)
+def _max_wait_s(call: Call) -> float:
+    """Returns how long a call may wait in the queue of one server."""
+    return min(call.remaining_s * MAX_WAIT_FRACTION, call.target_s * MAX_WAIT_TARGET_FACTOR)
 
 
-def _claim_limit_s(call: Call) -> float:
-    """How long the claim of a call's key may take."""
-    return max(LEAST_CLAIM_S, call.target_s * PATIENCE)
+def _claim_timeout_s(call: Call) -> float:
+    """Returns how long the claim of a call's key may take."""
+    return max(MIN_CLAIM_TIMEOUT_S, call.target_s * FREE_WAIT_FRACTION)
 
 
-def _maker(call: Call) -> Callable[[float, str], bytes]:
-    """What makes a call's bytes for the server, once it is known how much time is left and which instance
-    is meant."""
+def _request_builder(call: Call) -> Callable[[float, str], bytes]:
+    """Returns a function that builds a call's HTTP request from the remaining time and the server's instance
+    id, which are known only when it is sent."""
     head = heads.forwarded(call.method, call.target, list(call.headers), call.body)
 
-    def make(left_s: float, instance: str) -> bytes:
-        told = b"X-Deadline-Ms: %d\r\nX-Expect-Instance: %s\r\nX-Caller-Service: %s\r\n\r\n" % (
-            max(1, int(left_s * 1000)),
+    def build_request(remaining_s: float, instance: str) -> bytes:
+        headers = b"X-Deadline-Ms: %d\r\nX-Expect-Instance: %s\r\nX-Caller-Service: %s\r\n\r\n" % (
+            max(1, int(remaining_s * 1000)),
             instance.encode(),
             call.caller.encode(),
         )
-        return head + told + call.body
+        return head + headers + call.body
 
-    return make
+    return build_request
--- a/mesh/proxy/chunked_transfer.py
+++ b/mesh/proxy/chunked_transfer.py
@@ -1,12 +1,13 @@
-"""Large bodies between sidecars: the one that gets them says how much may be on its way. No I/O.
-
-A machine's link serves in the order in which bytes come, and a few bodies of hundreds of kilobytes that
-come together keep every small message there waiting for a second. So a body that would hold the link for
-longer than `INLINE_S` is told of by its size, and fetched in pieces: as much is on its way to one machine as
-its link carries in `WINDOW_S`, from whatever senders, the body with the least left to come first: on a
-link that is full most are then in time, and whoever asks gives the large ones back that others overtake. (A
-credit for waiting, a quarter of what the link carries meanwhile, made all of them late together.) What a link
-carries is what the settings tell of it. Times are seconds of a steady clock, sizes bytes.
+"""Flow control for large bodies sent between sidecars. No I/O.
+
+A link transmits bytes in the order of their arrival, so a few bodies of hundreds of kilobytes that come
+together would delay every small message behind them by a second. A body that would occupy the link for longer
+than `INLINE_S` is therefore announced by its size and fetched in chunks. The receiver limits the bytes in
+flight to what its link carries in `WINDOW_S`, over all senders, and serves the body with the fewest remaining
+bytes first. On a saturated link most bodies are then in time, and the receiver rejects the large ones that
+are overtaken. (A credit for waiting, of a quarter of the link's capacity meanwhile, made all of them late
+together.) The capacity of the link is taken from the settings. Times are seconds of a monotonic clock, sizes
+are bytes.
 """
 
 from __future__ import annotations
@@ -14,87 +15,93 @@
 from collections.abc import Hashable
 from typing import Generic, TypeVar
 
-INLINE_S = 0.02  # a body that takes the link for no longer goes with its request
-WINDOW_S = 0.05  # so much of the link's time may be on its way
-LEAST_WINDOW = 16 * 1024
-MAX_CHUNK_BYTES = 16 * 1024  # at most so much in one message: small ones pass between
+INLINE_S = 0.02  # a body that occupies the link for no longer is sent within its request
+WINDOW_S = 0.05  # transmission time of the bytes that may be in flight
+MIN_WINDOW_BYTES = 16 * 1024
+MAX_CHUNK_BYTES = 16 * 1024  # small enough that other messages are sent in between
 Key = TypeVar("Key", bound=Hashable)
-STUCK_S = 0.5  # a sender that has sent nothing for so long holds up no other
+STALL_TIMEOUT_S = 0.5  # after which a sender without progress no longer delays others
 
 
-class Load:
-    """One body on its way."""
+class Transfer:
+    """The state of one body in transfer."""
 
-    __slots__ = ("size", "granted", "got", "moved_at")
+    __slots__ = ("size", "granted", "received", "progress_at")
 
     def __init__(self, size: int, now: float) -> None:
         self.size = size
-        self.granted = self.got = 0
-        self.moved_at = now
+        self.granted = self.received = 0
+        self.progress_at = now
 
     @property
-    def left(self) -> int:
-        """What has not come yet."""
-        return self.size - self.got
+    def remaining(self) -> int:
+        """Number of bytes not received yet."""
+        return self.size - self.received
 
 
-class Intake(Generic[Key]):
-    """What comes in over one machine's link."""
+class ReceiveWindow(Generic[Key]):
+    """Allocates the capacity of one machine's incoming link to bodies."""
 
-    def __init__(self, bytes_s: float) -> None:
-        self.bytes_s = max(1.0, bytes_s)
-        self.inline_limit = int(self.bytes_s * INLINE_S)
-        self._window = max(LEAST_WINDOW, int(self.bytes_s * WINDOW_S))
-        self._loads: dict[Key, Load] = {}
+    def __init__(self, bytes_per_s: float) -> None:
+        self.bytes_per_s = max(1.0, bytes_per_s)
+        self.inline_limit = int(self.bytes_per_s * INLINE_S)
+        self._window = max(MIN_WINDOW_BYTES, int(self.bytes_per_s * WINDOW_S))
+        self._transfers: dict[Key, Transfer] = {}
 
     def __len__(self) -> int:
-        return len(self._loads)
+        return len(self._transfers)
 
     def add(self, now: float, key: Key, size: int) -> None:
-        """A sender has a body of this size."""
-        self._loads[key] = Load(size, now)
+        """Adds a body of this size."""
+        self._transfers[key] = Transfer(size, now)
 
     def drop(self, key: Key) -> None:
-        """It is not wanted, or will not come."""
-        self._loads.pop(key, None)
+        """Removes a body."""
+        self._transfers.pop(key, None)
 
-    def got(self, now: float, key: Key, size: int) -> bool:
-        """A piece has come; whether the body is whole."""
-        load = self._loads.get(key)
-        if load is None:
+    def on_received(self, now: float, key: Key, size: int) -> bool:
+        """Records the arrival of a chunk; returns whether the body is complete."""
+        transfer = self._transfers.get(key)
+        if transfer is None:
             return False
-        load.got += size
-        load.granted = max(load.granted, load.got)
-        load.moved_at = now
-        return load.left <= 0
+        transfer.received += size
+        transfer.granted = max(transfer.granted, transfer.received)
+        transfer.progress_at = now
+        return transfer.remaining <= 0
 
     def grants(self, now: float) -> dict[Key, int]:
-        """Who may send more, and up to which byte of its body."""
-        found: dict[Key, int] = {}
-        loads = self._loads
-        open_ = sum(load.granted - load.got for load in self._loads.values() if self._moves(now, load))
-        while open_ < self._window:
-            waiting = [key for key, load in self._loads.items() if load.granted < load.size]
+        """Returns which bodies may be sent further, with the new end offset of each."""
+        offsets: dict[Key, int] = {}
+        transfers = self._transfers
+        outstanding = sum(
+            transfer.granted - transfer.received
+            for transfer in self._transfers.values()
+            if self._progresses(now, transfer)
+        )
+        while outstanding < self._window:
+            waiting = [key for key, transfer in self._transfers.items() if transfer.granted < transfer.size]
             if not waiting:
                 break
-            key = min(waiting, key=lambda key: self._rank(now, loads[key]))
-            load = loads[key]
-            if load.granted == load.got:
-                load.moved_at = now  # nothing was asked of it before: its time begins now
-            more = min(MAX_CHUNK_BYTES, load.size - load.granted)
-            load.granted += more
-            found[key] = load.granted
-            open_ += more
-        return found
-
-    def _rank(self, now: float, load: Load) -> tuple[bool, int]:
-        return not self._moves(now, load), load.left
+            key = min(waiting, key=lambda key: self._sort_key(now, transfers[key]))
+            transfer = transfers[key]
+            if transfer.granted == transfer.received:
+                transfer.progress_at = now  # it had no grant before, so its stall timeout starts now
+            count = min(MAX_CHUNK_BYTES, transfer.size - transfer.granted)
+            transfer.granted += count
+            offsets[key] = transfer.granted
+            outstanding += count
+        return offsets
+
+    def _sort_key(self, now: float, transfer: Transfer) -> tuple[bool, int]:
+        return not self._progresses(now, transfer), transfer.remaining
 
     @staticmethod
-    def _moves(now: float, load: Load) -> bool:
-        return load.granted == load.got or now - load.moved_at < STUCK_S
-
-    def wait(self, size: int) -> float:
-        """Seconds until a body of this size would be here if it were told of now, about."""
-        ahead = sum(load.left for load in self._loads.values() if load.left <= size)
-        return (ahead + size) / self.bytes_s
+    def _progresses(now: float, transfer: Transfer) -> bool:
+        return transfer.granted == transfer.received or now - transfer.progress_at < STALL_TIMEOUT_S
+
+    def expected_transfer_s(self, size: int) -> float:
+        """Returns the expected time until a body of this size would be complete if it were added now."""
+        earlier = sum(
+            transfer.remaining for transfer in self._transfers.values() if transfer.remaining <= size
+        )
+        return (earlier + size) / self.bytes_per_s
--- a/mesh/proxy/key_claims.py
+++ b/mesh/proxy/key_claims.py
@@ -1,5 +1,7 @@
-"""A sidecar's claims of operation keys: a call with a key goes to its server only once enough controllers
-have granted the key."""
+"""Claims of idempotency keys by a sidecar.
+
+A call with a key is sent to its server only after enough controllers have granted the key.
+"""
 
 from __future__ import annotations
 
@@ -12,198 +14,212 @@
 from mesh.transport.connection import PeerConnection, pack
 from mesh.transport.messages import ClaimAnswer, ClaimKey, FreeKey, KeyBroken, KeyDone, Message
 
-ROUND_TIMEOUT_S = 1.0  # a claim's round is void after so long
-LEAST_S = 0.01
-HEDGE_S = 0.02  # after so long without a verdict all controllers are asked for a key, not only the nearest
-KEYLESS_S = 0.25  # how long none is tried after one that took too long
-MARGIN_S = 0.5  # a grant outlasts the time that its call has by so much
+ROUND_TIMEOUT_S = 1.0  # after which a round of a claim is void
+MIN_TIMEOUT_S = 0.01
+HEDGE_DELAY_S = 0.02  # without a verdict by then, all controllers are queried, not only the nearest
+PAUSE_S = 0.25  # during which no claim is tried after one has timed out
+GRANT_MARGIN_S = 0.5  # by which a grant outlasts the deadline of its call
 
-Decided = Callable[[Verdict, Any], None]
-"""Told once of a claim's verdict, and of the answer where the operation has run."""
+OnDecision = Callable[[Verdict, Any], None]
+"""Called once with the verdict of a claim, and with the answer if the operation has already run."""
 
 
-class Attempt:
-    """One claim, over as many rounds as voters change."""
+class ClaimAttempt:
+    """One claim. It starts a new round whenever the voters change."""
 
-    def __init__(self, claims: KeyClaims, key: str, token: str, left_s: float, decided: Decided) -> None:
-        self._claims, self._key, self._token, self._decided = claims, key, token, decided
-        self._ends = claims.loop.time() + left_s
+    def __init__(
+        self, claims: KeyClaims, key: str, token: str, remaining_s: float, on_decision: OnDecision
+    ) -> None:
+        self._claims, self._key, self._token, self._on_decision = claims, key, token, on_decision
+        self._deadline = claims.loop.time() + remaining_s
         self._number = 0
         self._claim = Claim(0, 0, claims.loop.time(), ROUND_TIMEOUT_S)
         self._packed = b""
-        self._order: list[str] = []
-        self._asked: list[str] = []
-        self.all_asked: list[str] = []  # in all epochs
+        self._ordered_voters: list[str] = []
+        self._queried: list[str] = []
+        self.all_queried: list[str] = []  # over all epochs
         self._timers: list[asyncio.TimerHandle] = []
 
-    def start(self, limit_s: float) -> None:
-        """Ask the nearest that are enough; what they don't settle soon, the others are asked as well."""
+    def start(self, timeout_s: float) -> None:
+        """Queries the nearest controllers that suffice, and the others if there is no verdict soon."""
         loop = self._claims.loop
         self._timers = [
-            loop.call_later(min(ROUND_TIMEOUT_S, limit_s), self._late),
-            loop.call_later(HEDGE_S, self._ask_all),
+            loop.call_later(min(ROUND_TIMEOUT_S, timeout_s), self._on_timeout),
+            loop.call_later(HEDGE_DELAY_S, self._query_all),
         ]
         self.begin()
 
     def begin(self) -> None:
-        """A round, among those who vote now. Answers are counted by its number, so within one epoch."""
+        """Starts a round among the current voters. Answers carry its number, so all counted are of one
+        epoch."""
         claims, loop = self._claims, self._claims.loop
         claims.pending.pop(self._number, None)
-        self._number = claims.fresh()
+        self._number = claims.next_number()
         claims.pending[self._number] = self
         voters = claims.voters
         self._claim = Claim(len(voters.names), voters.write, loop.time(), ROUND_TIMEOUT_S)
-        left_s = self._ends - loop.time() + MARGIN_S
-        self._packed = pack(ClaimKey(self._number, self._key, self._token, left_s, max(1, voters.epoch)))
-        self._order = claims.nearest_first()
-        self._asked = []
-        for name in self._order:
-            if name not in claims.links:
+        remaining_s = self._deadline - loop.time() + GRANT_MARGIN_S
+        self._packed = pack(ClaimKey(self._number, self._key, self._token, remaining_s, max(1, voters.epoch)))
+        self._ordered_voters = claims.nearest_first()
+        self._queried = []
+        for name in self._ordered_voters:
+            if name not in claims.connections:
                 self._claim.failed(name)
-        self._ask([name for name in self._order if name in claims.links][: voters.write])
-        self._look()
+        self._query([name for name in self._ordered_voters if name in claims.connections][: voters.write])
+        self._check_verdict()
 
-    def _ask(self, names: list[str]) -> None:
+    def _query(self, names: list[str]) -> None:
         for name in names:
-            if name in self._asked:
+            if name in self._queried:
                 continue
-            self._asked.append(name)
-            if name not in self.all_asked:
-                self.all_asked.append(name)
-            link = self._claims.links.get(name)
-            if link is None:
+            self._queried.append(name)
+            if name not in self.all_queried:
+                self.all_queried.append(name)
+            connection = self._claims.connections.get(name)
+            if connection is None:
                 self._claim.failed(name)
             else:
-                link.send_packed(self._packed)
+                connection.send_packed(self._packed)
 
-    def _ask_all(self) -> None:
+    def _query_all(self) -> None:
         if self._number in self._claims.pending:
-            self._ask(self._order)
-            self._look()
+            self._query(self._ordered_voters)
+            self._check_verdict()
 
-    def _late(self) -> None:
-        """Nothing was settled in time."""
+    def _on_timeout(self) -> None:
+        """Handles the timeout of the claim."""
         if self._number not in self._claims.pending:
             return
         for name in self._claims.voters.names:
             self._claim.silent(name)
         self._claims.pause()
-        self._look()
+        self._check_verdict()
 
     def on_claim_answer(self, name: str, answer: ClaimAnswer) -> None:
-        """A controller has answered."""
+        """Handles the answer of a controller."""
         if answer.outcome > 0:
             self._claim.granted(name)
         elif answer.outcome == 0:
-            self._claim.held(name, answer.token, Mark(answer.mark), answer.answer)
+            self._claim.held(name, answer.token, Mark(answer.status), answer.answer)
         else:
             self._claim.failed(name)
-        self._look()
+        self._check_verdict()
 
     def on_connection_lost(self, name: str) -> None:
-        """The connection to a controller has ended."""
+        """Handles the loss of the connection to a controller."""
         self._claim.failed(name)
-        self._look()
+        self._check_verdict()
 
-    def _look(self) -> None:
-        """Whether there is a verdict."""
+    def _check_verdict(self) -> None:
+        """Ends the claim if there is a verdict; queries the remaining controllers if some can't grant."""
         if self._number not in self._claims.pending:
             return
-        if self._claim.troubled and len(self._asked) < len(self._order):
-            self._ask(self._order)
+        if self._claim.troubled and len(self._queried) < len(self._ordered_voters):
+            self._query(self._ordered_voters)
         verdict = self._claim.verdict(self._claims.loop.time())
         if verdict == Verdict.WAIT:
             return
         del self._claims.pending[self._number]
         for timer in self._timers:
             timer.cancel()
-        self._claims.settled(self._key, self._token, self.all_asked, verdict)
-        self._decided(verdict, self._claim.answer)
+        self._claims.on_verdict(self._key, self._token, self.all_queried, verdict)
+        self._on_decision(verdict, self._claim.answer)
 
 
 class KeyClaims:
-    """All claims of one sidecar. `links` are the connections to controllers, by address; `zones` their
-    zones."""
+    """All claims of one sidecar. `connections` and `zones` hold the connections to controllers and their
+    zones, by address."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        links: Mapping[str, PeerConnection],
+        connections: Mapping[str, PeerConnection],
         zones: Mapping[str, str],
         zone: str,
-        fresh: Callable[[], int],
+        next_number: Callable[[], int],
     ) -> None:
-        self.loop, self.links, self._zones, self._zone, self.fresh = loop, links, zones, zone, fresh
+        self.loop, self.connections, self._zones, self._zone, self.next_number = (
+            loop,
+            connections,
+            zones,
+            zone,
+            next_number,
+        )
         self.voters: Voters = NOBODY
-        self.pending: dict[int, Attempt] = {}
-        self._asked: dict[str, list[str]] = {}  # by token at work: the controllers that were asked
-        self.timed_out = 0  # claims that took too long
-        self._paused_until = 0.0  # controllers are out of reach, as it seems
+        self.pending: dict[int, ClaimAttempt] = {}
+        self._queried: dict[str, list[str]] = {}  # by token of a running operation: the controllers queried
+        self.timed_out = 0  # number of claims
+        self._paused_until = 0.0  # while the controllers seem unreachable
 
     def nearest_first(self) -> list[str]:
-        """The voters, those of the own zone first."""
+        """Returns the voters, those in this sidecar's zone first."""
         return sorted(self.voters.names, key=lambda name: self._zones.get(name) != self._zone)
 
     @property
     def paused(self) -> bool:
-        """Whether a claim would most likely take too long."""
+        """Whether a claim has timed out recently, so that another would probably time out as well."""
         return self.loop.time() < self._paused_until
 
     def pause(self) -> None:
-        """A claim took too long: for a while none is tried."""
+        """Suspends further claims for a while after one has timed out."""
         self.timed_out += 1
-        self._paused_until = self.loop.time() + KEYLESS_S
+        self._paused_until = self.loop.time() + PAUSE_S
 
-    def claim(self, key: str, token: str, left_s: float, limit_s: float, decided: Decided) -> None:
-        """Have a key granted by enough controllers within `limit_s`; the call has `left_s`."""
-        Attempt(self, key, token, left_s, decided).start(min(limit_s, max(LEAST_S, left_s)))
-
-    def settled(self, key: str, token: str, asked: list[str], verdict: Verdict) -> None:
-        """A claim has a verdict: what it was granted and does not run with is given back."""
-        self._asked[token] = asked
+    def claim(
+        self, key: str, token: str, remaining_s: float, timeout_s: float, on_decision: OnDecision
+    ) -> None:
+        """Claims a key within `timeout_s` for a call that has `remaining_s` left."""
+        ClaimAttempt(self, key, token, remaining_s, on_decision).start(
+            min(timeout_s, max(MIN_TIMEOUT_S, remaining_s))
+        )
+
+    def on_verdict(self, key: str, token: str, queried: list[str], verdict: Verdict) -> None:
+        """Handles the verdict of a claim; grants that will not be used are released."""
+        self._queried[token] = queried
         if verdict != Verdict.RUN:
-            self._tell(token, FreeKey(key, token))
+            self._send_to_queried(token, FreeKey(key, token))
 
-    def update_voters(self, told: Voters) -> bool:
-        """Who votes from now on. What was asked of those before is asked anew, as long as nothing ran."""
-        if not told.newer(self.voters):
+    def update_voters(self, voters: Voters) -> bool:
+        """Replaces the voters and restarts all pending claims, if the voters are newer; returns whether they
+        are."""
+        if not voters.newer(self.voters):
             return False
-        self.voters = told
-        for asked in self._asked.values():  # they may have heard of it from those before
-            asked += [name for name in told.names if name not in asked]
+        self.voters = voters
+        for queried in self._queried.values():  # the old voters may have told the new ones of the token
+            queried += [name for name in voters.names if name not in queried]
         for attempt in list(self.pending.values()):
             attempt.begin()
         return True
 
-    def on_claim_answer(self, link: PeerConnection, answer: ClaimAnswer) -> None:
-        """A controller has answered."""
+    def on_claim_answer(self, connection: PeerConnection, answer: ClaimAnswer) -> None:
+        """Handles the answer of a controller."""
         attempt = self.pending.get(answer.claim)
         if attempt is not None:
-            attempt.on_claim_answer(link.peer, answer)
+            attempt.on_claim_answer(connection.peer, answer)
 
     def on_connection_lost(self, name: str) -> None:
-        """The connection to a controller has ended."""
+        """Handles the loss of the connection to a controller."""
         for attempt in list(self.pending.values()):
             attempt.on_connection_lost(name)
 
-    # --- ends of operations
+    # --- results of operations
 
-    def done(self, key: str, token: str, answer: Any) -> None:
-        """An operation has run, with this answer."""
-        self._tell(token, KeyDone(key, token, answer))
+    def report_done(self, key: str, token: str, answer: Any) -> None:
+        """Reports that the operation of a key has run with this answer."""
+        self._send_to_queried(token, KeyDone(key, token, answer))
 
-    def broke(self, key: str, token: str) -> None:
-        """An operation may have run, and has no answer."""
-        self._tell(token, KeyBroken(key, token))
+    def report_broken(self, key: str, token: str) -> None:
+        """Reports that the operation of a key may have run, but its answer is lost."""
+        self._send_to_queried(token, KeyBroken(key, token))
 
-    def free(self, key: str, token: str) -> None:
-        """An operation has not run, and will not."""
-        self._tell(token, FreeKey(key, token))
+    def release(self, key: str, token: str) -> None:
+        """Releases a key whose operation has not run and will not."""
+        self._send_to_queried(token, FreeKey(key, token))
 
-    def _tell(self, token: str, message: Message) -> None:
-        """Tell the controllers that were asked for a token: no other knows of it."""
+    def _send_to_queried(self, token: str, message: Message) -> None:
+        """Sends a message to the controllers that were queried for a token; no others know of it."""
         packed = pack(message)
-        for name in self._asked.pop(token, ()):
-            link = self.links.get(name)
-            if link is not None:
-                link.send_packed(packed)
+        for name in self._queried.pop(token, ()):
+            connection = self.connections.get(name)
+            if connection is not None:
+                connection.send_packed(packed)
--- a/mesh/proxy/pending.py
+++ b/mesh/proxy/pending.py
@@ -1,4 +1,4 @@
-"""One request of a client, from its arrival to its one answer."""
+"""State of a client's request from its arrival until it is answered."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that began at this sidecar. Times are those of the event loop, in seconds."""
+    """A request received by this sidecar. Times are those of the event loop, in seconds."""
 
     message: Request
     route: Route
-    service: str  # the one that the route's weights have drawn
+    service: str  # chosen by the weights of the route
     started_at: float
     deadline: float
-    target_at: float  # an answer by then earns its full worth
-    offered_until: float  # after this it is offered to no other server
-    is_retry: bool = False  # its client has spent time on it already
-    past_target: bool = False  # so much that no answer can be within its aim
+    target_at: float  # an answer by then has its full value
+    offered_until: float  # no further server is offered the request after this
+    is_retry: bool = False  # whether its client has already spent time on it
+    past_target: bool = False  # whether its target latency has already passed
     attempt_id: bytes = b""
-    key: str = ""  # of its operation; empty where its route has none
+    key: str = ""  # idempotency key; empty if its route uses none
     tried: list[Endpoint] = field(default_factory=list)
-    arrivals: int = 0  # servers that it has reached
-    open_offers: int = 0  # that are not answered yet
+    arrivals: int = 0  # number of servers that it has reached
+    open_offers: int = 0  # number of unanswered offers
     may_have_run: bool = False
     finished: bool = False
     timer: asyncio.TimerHandle | None = None
@@ -39,11 +39,11 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.route.variant == "pure"
 
     def finish(self) -> None:
-        """It has its answer, or nobody waits for one."""
+        """Marks the request as answered or abandoned."""
         self.finished = True
         if self.timer is not None:
             self.timer.cancel()
--- a/mesh/proxy/request_age.py
+++ b/mesh/proxy/request_age.py
@@ -1,32 +1,32 @@
-"""How long requests have been under way before they came here, by the time their clients give them. No I/O.
+"""Estimates how long ago a client first sent a request, from the remaining time that it announces. No I/O.
 
-A client tells with each try how much time it has left. Its first try has all of it, which is the longest
-that is told of late on its route; what a later try lacks of that has been spent. The route's time-out stands
-for it only until enough has been heard: operators change it, and clients need not follow.
+A client announces its remaining time with each attempt. The first attempt has all of it, which is the maximum
+announced recently on the route; what a later attempt lacks has already passed. The route's timeout stands in
+for the maximum only until there are enough samples: operators change it, and clients need not follow.
 """
 
 from __future__ import annotations
 
-SPAN = 64  # tries after which the longest of those before them is forgotten
-MIN_SAMPLES = 16  # fewer than so many tell of no longest yet
+WINDOW_SAMPLES = 64  # attempts after which the maximum of the previous window is dropped
+MIN_SAMPLES = 16  # below which the maximum is not reliable
 
 
 class RequestAges:
-    """The tries of one route. Times in seconds."""
+    """Tracks the attempts of one route. Times are in seconds."""
 
-    __slots__ = ("_before", "_here", "_count")
+    __slots__ = ("_previous_max", "_current_max", "_count")
 
     def __init__(self) -> None:
-        self._before = self._here = 0.0  # the longest of the last whole span, and of this one
+        self._previous_max = self._current_max = 0.0  # of the previous and the current window
         self._count = 0
 
-    def age(self, left: float, timeout: float) -> float:
-        """Take note of a try that has so much time left; how long its request has been under way."""
+    def age(self, remaining_s: float, route_timeout_s: float) -> float:
+        """Records an attempt with this remaining time; returns the age of its request."""
         self._count += 1
-        self._here = max(self._here, left)
-        whole = max(self._before, self._here)
-        if not self._before and self._count < MIN_SAMPLES:
-            whole = max(whole, timeout)
-        if self._count >= SPAN:
-            self._before, self._here, self._count = self._here, 0.0, 0
-        return whole - left
+        self._current_max = max(self._current_max, remaining_s)
+        full_s = max(self._previous_max, self._current_max)
+        if not self._previous_max and self._count < MIN_SAMPLES:
+            full_s = max(full_s, route_timeout_s)
+        if self._count >= WINDOW_SAMPLES:
+            self._previous_max, self._current_max, self._count = self._current_max, 0.0, 0
+        return full_s - remaining_s
--- a/mesh/proxy/request_counts.py
+++ b/mesh/proxy/request_counts.py
@@ -1,4 +1,4 @@
-"""Counts of what became of requests at one sidecar. No I/O."""
+"""Request metrics of a sidecar. No I/O."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from mesh.errors import ErrorKind
 from mesh.figures import Figure, LabelledCounts
 
-NO_ROUTE = ""  # the label of requests that ended before they had one
+NO_ROUTE = ""  # label of requests that ended before a route was found
 CLIENT_LEFT = "client_left"
 
 
 class RequestCounts:
-    """What a sidecar counts of the requests that begin there."""
+    """Counts the requests received by a sidecar, by outcome."""
 
     def __init__(self) -> None:
         self._requests = LabelledCounts(
@@ -27,25 +27,25 @@
             ("service", "place"),
         )
 
-    def answered(self, route: str, status: int, took_s: float) -> None:
-        """A server has answered."""
+    def answered(self, route: str, status: int, elapsed_s: float) -> None:
+        """Counts a request answered by a server."""
         self._requests.add((route, f"server_{status // 100}xx"))
-        self._seconds.add((route,), took_s)
+        self._seconds.add((route,), elapsed_s)
 
     def failed(self, route: str, error: ErrorKind) -> None:
-        """This system has answered."""
+        """Counts a request answered by the mesh itself with an error."""
         self._requests.add((route, error.name.lower()))
 
     def client_left(self, route: str) -> None:
-        """Nobody waits for the answer any more."""
+        """Counts a request whose client has disconnected."""
         self._requests.add((route, CLIENT_LEFT))
 
     def offered(self, service: str, first: bool) -> None:
-        """A request was offered to a sidecar beside a server."""
+        """Counts an offer of a request to the sidecar of a server."""
         self._offers.add((service, "first" if first else "further"))
 
     def metrics(self) -> Iterator[Figure]:
-        """All families."""
+        """Returns the metric families."""
         yield self._requests.figure()
         yield self._seconds.figure()
         yield self._offers.figure()
--- a/mesh/proxy/server_beats.py
+++ b/mesh/proxy/server_beats.py
@@ -1,4 +1,4 @@
-"""What the server beside this sidecar tells of itself, the record that others get of it, and readiness."""
+"""Heartbeats of a sidecar's local server, and the record that the sidecar publishes."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from mesh.transport.messages import VERSION, SidecarRecord
 
 JSON = [(b"Content-Type", b"application/json")]
-INSTANCES = b"/-/instances/"
+INSTANCES_PATH = b"/-/instances/"
 
 
-class Beat(NamedTuple):
-    """One call of a server, checked."""
+class ServerHeartbeat(NamedTuple):
+    """A validated heartbeat of a server."""
 
     service: str
     ready: bool
     slots: int
-    warm_up_s: float  # how much longer it is slow
-    call_number: int  # rises with each call of one instance
+    warm_up_s: float  # how much longer the server is warming up
+    call_number: int  # increases with each heartbeat of an instance
 
 
-def read_beat(body: bytes) -> Result[Beat, str]:
-    """A server's call, or why it can't be read."""
+def parse_heartbeat(body: bytes) -> Result[ServerHeartbeat, str]:
+    """Parses the body of a heartbeat request; returns the reason if it is invalid."""
     try:
-        told = json.loads(body)
+        fields = json.loads(body)
         return Ok(
-            Beat(
-                service=str(told["service"]),
-                ready=str(told.get("state", "ready")) == "ready",
-                slots=max(1, int(told.get("slots", 1))),
-                warm_up_s=seconds(told.get("cold_left", "0ms")),
-                call_number=int(told.get("call_seq", 0)),
+            ServerHeartbeat(
+                service=str(fields["service"]),
+                ready=str(fields.get("state", "ready")) == "ready",
+                slots=max(1, int(fields.get("slots", 1))),
+                warm_up_s=seconds(fields.get("cold_left", "0ms")),
+                call_number=int(fields.get("call_seq", 0)),
             )
         )
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
@@ -49,76 +49,80 @@
 
 
 class ServerHeartbeats:
-    """The control address of one sidecar, and its record.
+    """Handles requests to the control address of a sidecar, and maintains the sidecar's record.
 
-    `changed` is called whenever others have to hear of another record.
+    `on_change` is called whenever a new record has to be published.
     """
 
-    def __init__(self, context: ProxyContext, queue: ServerQueue, changed: Callable[[], None]) -> None:
-        self._context, self._queue, self._changed = context, queue, changed
-        self._number = 1  # of the record that stands, in this life
-        queue.replaced = self.adopt_instance
+    def __init__(self, context: ProxyContext, queue: ServerQueue, on_change: Callable[[], None]) -> None:
+        self._context, self._queue, self._on_change = context, queue, on_change
+        self._number = 1  # of the current record within this incarnation
+        queue.on_replaced = self.adopt_instance
 
     def serve(self, message: Request) -> None:
-        """A call on the control address."""
+        """Handles a request to the control address."""
         path = message.target.partition(b"?")[0]
-        named = path.startswith(INSTANCES) and len(path) > len(INSTANCES)
-        if not named or message.method not in (b"PUT", b"DELETE"):
+        has_instance = path.startswith(INSTANCES_PATH) and len(path) > len(INSTANCES_PATH)
+        if not has_instance or message.method not in (b"PUT", b"DELETE"):
             message.answer(ANSWERS[ErrorKind.NOT_HERE].status)
             return
-        instance = path[len(INSTANCES) :].decode("latin-1")
+        instance = path[len(INSTANCES_PATH) :].decode("latin-1")
         error = None
         if message.method == b"DELETE":
-            self._end(instance)
+            self._handle_end(instance)
         else:
-            error = self._take(instance, message.body)
+            error = self._handle_heartbeat(instance, message.body)
         if error is not None:
             message.answer(ANSWERS[error].status)
         else:
             message.answer(200, b"{}", JSON)
 
-    def _end(self, instance: str) -> None:
-        """A server's life is over: nothing more is sent to it, and a late beat of it says nothing."""
+    def _handle_end(self, instance: str) -> None:
+        """Handles the end of an instance: it gets no further calls, and late heartbeats of it are ignored."""
         queue = self._queue
         queue.ended_instances.add(instance)
         if queue.instance == instance:
-            queue.gone()
-            self._changed()
+            queue.on_server_gone()
+            self._on_change()
 
-    def _take(self, instance: str, body: bytes) -> ErrorKind | None:
-        """One beat; why it is refused, if it is."""
+    def _handle_heartbeat(self, instance: str, body: bytes) -> ErrorKind | None:
+        """Applies a heartbeat; returns the error if it is rejected."""
         queue = self._queue
-        read = read_beat(body)
-        if read.is_error():
+        parsed = parse_heartbeat(body)
+        if parsed.is_error():
             return ErrorKind.BAD
-        beat = read.ok
-        if beat.call_number <= queue.lives.get(instance, -1) or instance in queue.ended_instances:
-            return None  # a late one: what it says is known, or of a life that has ended
-        if beat.service != self._context.settings.service:
-            logger.warning("a server of another service beats here", service=beat.service)
+        heartbeat = parsed.ok
+        if (
+            heartbeat.call_number <= queue.heartbeat_numbers.get(instance, -1)
+            or instance in queue.ended_instances
+        ):
+            return None  # arrived late: superseded by a newer heartbeat, or its instance has ended
+        if heartbeat.service != self._context.settings.service:
+            logger.warning("rejected a heartbeat of another service", service=heartbeat.service)
             return ErrorKind.BAD
-        queue.lives[instance] = beat.call_number
+        queue.heartbeat_numbers[instance] = heartbeat.call_number
         before = (queue.instance, queue.open)
-        queue.update_server(instance, beat.slots, beat.warm_up_s, beat.ready)
-        if (queue.instance, queue.open) != before:  # nobody picks by the slots that a record tells
-            self._changed()
+        queue.update_server(instance, heartbeat.slots, heartbeat.warm_up_s, heartbeat.ready)
+        if (queue.instance, queue.open) != before:  # a change of slots alone affects no other sidecar
+            self._on_change()
         return None
 
     def adopt_instance(self, instance: str) -> None:
-        """A server's id that no beat has told yet: a sidecar that started anew need not wait for the next."""
+        """Adopts an instance id learned from the server, so that a restarted sidecar need not wait for a
+        heartbeat."""
         queue = self._queue
         if instance and not queue.instance and instance not in queue.ended_instances:
-            logger.info("the server says who it is", instance=instance)
+            logger.info("learned the instance id from the server", instance=instance)
             queue.update_server(instance, MAX_STEPS, 0.0, True)
-            self._changed()
+            self._on_change()
 
     def next_record(self) -> SidecarRecord:
-        """The record of something that has changed: it takes the place of the one before everywhere."""
+        """Returns the current record under a new number, which supersedes the previous record everywhere."""
         self._number += 1
         return self.record()
 
     def record(self) -> SidecarRecord:
-        """What can be had here, as it stands. Whoever is told it again knows it by its number."""
+        """Returns the current record. Receivers recognise a repeated record by its number."""
         queue, context, settings = self._queue, self._context, self._context.settings
         return SidecarRecord(
             node=context.me,
@@ -128,14 +132,14 @@
             instance=queue.instance,
             slots=queue.slots,
             is_open=queue.open and not context.leaving,
-            warm_up_s=max(0.0, queue.cold_until - context.now()),
+            warm_up_s=max(0.0, queue.warming_up_until - context.now()),
             incarnation=context.life,
             number=self._number,
             version=VERSION,
         )
 
-    def ensure_newer_than(self, life: int) -> None:
-        """A later life of this sidecar is known: a clock has stepped back since the process before."""
-        if life >= self._context.life:
-            self._context.life = life + 1
-            self._changed()
+    def ensure_newer_than(self, incarnation: int) -> None:
+        """Raises the incarnation above one that is already known, as after the clock has stepped back."""
+        if incarnation >= self._context.life:
+            self._context.life = incarnation + 1
+            self._on_change()
--- a/mesh/proxy/server_queue.py
+++ b/mesh/proxy/server_queue.py
@@ -1,4 +1,4 @@
-"""The queue beside a server: its connections, and the calls that wait for it in order."""
+"""The queue of a sidecar's local server: its connections, its concurrency budget, and the waiting calls."""
 
 from __future__ import annotations
 
@@ -18,329 +18,375 @@
 from mesh.errors import ErrorKind
 from mesh.settings import Address
 
-FIRST_BACKOFF_NS, LAST_BACKOFF_NS = 100_000_000, 2_000_000_000
-KEPT_S = 15.0  # idle connections are retired from IDLE_SHARE of this on, or of what the server tells
-PROMISING = frozenset({b"503", b"429", b"421", b"408", b"400"})
-PROBE_S = 1.0
-LIGHT = 0.4  # part of what the heaviest kind takes, up to which a call is a light one
-SPARE = 3.0  # times what a light call takes that is left of its time at its last start
-OVERDUE = 4.0  # times what its kind takes on average, from when on a call may be lost
-MOST_KINDS = 256  # kinds of calls whose times are kept apart
-ILL_GAIN = 0.1  # weight of one call's outcome against what was known
-ILL_FADES_S = 3.0  # half of what was known is forgotten after so long
-NETWORK_MARGIN_S = 0.008  # kept back of a deadline for the way home
+INITIAL_BACKOFF_NS, MAX_BACKOFF_NS = 100_000_000, 2_000_000_000
+IDLE_TIMEOUT_S = 15.0  # applies unless the server announces a shorter one; see IDLE_TIMEOUT_FRACTION
+NOT_RUN_STATUSES = frozenset({b"503", b"429", b"421", b"408", b"400"})
+PROBE_TIMEOUT_S = 1.0
+LIGHT_FRACTION = 0.4  # calls that take up to this fraction of the heaviest kind's service time are light
+LIGHT_RESERVE_FACTOR = 3.0  # multiple of its service time that a light call has left at its latest start
+OVERDUE_FACTOR = 4.0  # multiple of the mean service time of its kind after which a call may be lost
+MAX_KINDS = 256  # kinds of calls whose service times are tracked separately
+FAILURE_SMOOTHING = 0.1  # smoothing factor of the failure rate
+FAILURE_HALF_LIFE_S = 3.0
+NETWORK_MARGIN_S = 0.008  # part of a deadline reserved for the way back of the response
 
 
 class Job:
-    """One call for the server. `done` is told once: fault (None: answered), whether it arrived, reply.
+    """One call for the local server.
 
-    `due` is the last start that makes an answer in time likely, `last` the last one that makes any likely.
+    `on_done` is called once, with the error (None if the server has answered), whether the call reached the
+    server, and the reply. A call that starts by `due_at` is likely to be answered within its target latency,
+    and one that starts by `latest_start_at` within its deadline.
     """
 
     __slots__ = (
         "build_request",
-        "tid",
+        "attempt_id",
         "deadline",
-        "due",
-        "last",
-        "done",
+        "due_at",
+        "latest_start_at",
+        "on_done",
         "kind",
         "priority",
         "trial",
         "exchange",
-        "began",
+        "started_at",
         "finished",
         "on_overdue",
         "repeatable",
         "timer",
-        "withdrawn",
+        "cancelled",
     )
 
     def __init__(
         self,
-        make: Callable[[float, str], bytes],
-        tid: bytes,
+        build_request: Callable[[float, str], bytes],
+        attempt_id: bytes,
         deadline: float,
-        due: float,
-        last: float,
-        done: Callable[[ErrorKind | None, bool, Reply | None], None],
+        due_at: float,
+        latest_start_at: float,
+        on_done: Callable[[ErrorKind | None, bool, Reply | None], None],
         kind: str = "",
     ) -> None:
-        self.build_request, self.tid, self.done, self.kind = make, tid, done, kind
-        self.deadline, self.due, self.last = deadline, due, last
-        self.priority = 0  # rank of its route; 0 is the most urgent
+        self.build_request, self.attempt_id, self.on_done, self.kind = (
+            build_request,
+            attempt_id,
+            on_done,
+            kind,
+        )
+        self.deadline, self.due_at, self.latest_start_at = deadline, due_at, latest_start_at
+        self.priority = 0  # of its route; 0 is the highest
         self.trial = self.finished = False
         self.repeatable = False  # whether it may run more than once
-        self.withdrawn = False  # nobody waits for its answer any more
-        self.on_overdue: Callable[[], None] | None = None  # told once where the server takes unusually long
+        self.cancelled = False  # nobody waits for its answer any more
+        self.on_overdue: Callable[[], None] | None = None  # called once if the server takes unusually long
         self.timer: asyncio.TimerHandle | None = None
         self.exchange: Exchange | None = None
-        self.began = 0.0
+        self.started_at = 0.0
 
 
 class ServerQueue:
-    """One server as its own sidecar sees it."""
+    """The local server of a sidecar, with its connections, concurrency budget and queue.
+
+    `on_replaced` is called with the instance id of another server that answers at the address.
+    """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, most: int) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, max_connections: int) -> None:
         self._loop = loop
         self._address = NodeAddress(address.host, address.port)
         self._back = HttpBack(False)
-        self.upstream = Upstream(loop, 1_000_000_000, int(KEPT_S * 1e9), most, 2.0, self._back)
+        self.upstream = Upstream(
+            loop, 1_000_000_000, int(IDLE_TIMEOUT_S * 1e9), max_connections, 2.0, self._back
+        )
         self.instance = ""
-        self.lives: dict[str, int] = {}  # by id: the last number that a beat carried
-        self.ended_instances: set[str] = set()  # ids of lives that have ended
+        self.heartbeat_numbers: dict[str, int] = {}  # by instance: number of the latest heartbeat
+        self.ended_instances: set[str] = set()  # ids of server processes that have ended
         self.slots = 1
         self.open = False
         self.max_conns = MAX_STEPS
-        self.cold_until = 0.0
+        self.warming_up_until = 0.0
         self.budget = self._new_budget()
-        self.queued: list[tuple[float, int, Job]] = []  # a heap, by when a start is due
-        self.late: deque[Job] = deque()  # in arrival order: they go when nobody waits who can be in time
-        self._count = self._samples = 0
+        self.queued: list[tuple[float, int, Job]] = []  # a heap, by due time
+        # Calls past their due time, in order of arrival; they are sent when no other call is waiting.
+        self.late: deque[Job] = deque()
+        self._submitted = self._samples = 0
         self.in_flight = 0
-        self.mean_service_s = 0.05  # seconds to an answer, of late
-        self._means: dict[str, tuple[float, int]] = {}  # the same by kind of call, and of how many
-        self._ill, self._ill_at = 0.0, 0.0  # part of calls that failed, when it was learned
+        self.mean_service_s = 0.05  # moving average of the time from sending a call to its answer
+        self._service_times: dict[str, tuple[float, int]] = {}  # by kind of call: mean and number of samples
+        self._failure_rate, self._failure_rate_at = 0.0, 0.0  # the rate and when it was updated
         self._timer: asyncio.TimerHandle | None = None
-        self.replaced: Callable[[str], None] = lambda instance: None  # told of another server at the address
+        self.on_replaced: Callable[[str], None] = lambda instance: None
+
+    def _new_budget(self, reported_slots: int = 1) -> Budget:
+        """Returns the initial budget of a server process.
 
-    def _new_budget(self, told: int = 1) -> Budget:
-        """Exception "told slots": a server that is warm and says how many it serves together begins at half
-        of that, not at 1; the rest comes by trials. A fleet that starts anew with all its clients there would
-        else spend seconds on queues that no server needs."""
-        return Budget(1.0, min(MAX_STEPS, self.slots, self.max_conns), -(-told // 2))
+        Exception "told slots": a warm server that reports its number of slots starts with half of them
+        instead of 1, and gains the others by trials. Otherwise a fleet that restarts under full load would
+        spend seconds queueing calls that its servers have room for.
+        """
+        return Budget(1.0, min(MAX_STEPS, self.slots, self.max_conns), -(-reported_slots // 2))
 
-    def update_server(self, instance: str, slots: int, cold_s: float, is_open: bool) -> None:
-        """What the server told of itself. A new id is a new process: nothing learned of the old one holds."""
-        self.cold_until = self._loop.time() + cold_s
+    def update_server(self, instance: str, slots: int, warm_up_s: float, is_open: bool) -> None:
+        """Updates the state reported by the server. A new instance id is a new process, so its budget and
+        statistics start afresh."""
+        self.warming_up_until = self._loop.time() + warm_up_s
         if instance != self.instance or slots != self.slots:
-            fresh = instance != self.instance
-            if fresh and self.instance:
+            is_new = instance != self.instance
+            if is_new and self.instance:
                 self.ended_instances.add(self.instance)
                 self.upstream.remove(self.instance)
             self.instance, self.slots = instance, slots
-            if fresh:
-                self.budget = self._new_budget(slots if cold_s <= 0 else 1)
-                self._samples, self._ill = 0, 0.0
+            if is_new:
+                self.budget = self._new_budget(slots if warm_up_s <= 0 else 1)
+                self._samples, self._failure_rate = 0, 0.0
                 self.upstream.update(instance, self._address, 0, True)
             self.budget.max_steps = min(MAX_STEPS, slots, self.max_conns)
         self.open = is_open
         if not is_open:
-            self.turn_away(ErrorKind.LEAVING)
-        self._pump()
+            self.reject_all(ErrorKind.LEAVING)
+        self._send_queued()
 
-    def probe(self, path: str, found: Callable[[str], None]) -> None:
-        """Ask the server who it is, where no beat has told yet; `found` gets its id, if it is well."""
+    def probe(self, path: str, on_result: Callable[[str], None]) -> None:
+        """Requests the server's health page before any heartbeat; `on_result` is called with its instance id,
+        or an empty string if it is not healthy."""
         name = "probe"
         self.upstream.update(name, self._address, 0, True)
         request = b"GET %s HTTP/1.1\r\nHost: sidecar\r\n\r\n" % path.encode()
 
-        def ended(how: AttemptOutcome, answer: Any) -> None:
+        def on_end(outcome: AttemptOutcome, answer: Any) -> None:
             self.upstream.remove(name)
             reply: Reply | None = answer
-            told = reply.header(b"x-instance-id") if reply is not None and reply.status == 200 else None
-            found(told.decode("latin-1") if told else "")
+            instance = reply.header(b"x-instance-id") if reply is not None and reply.status == 200 else None
+            on_result(instance.decode("latin-1") if instance else "")
 
-        exchange = self.upstream.exchange(name, lambda: request, PROBE_S, ended)
+        exchange = self.upstream.exchange(name, lambda: request, PROBE_TIMEOUT_S, on_end)
         if exchange is not None:
             exchange.start()
 
     def update_limits(self, max_conns: int) -> None:
-        """What the configuration allows."""
+        """Sets the connection limit of the configuration."""
         self.max_conns = max_conns
         self.budget.max_steps = max(1, min(MAX_STEPS, self.slots, max_conns))
 
-    def gone(self) -> None:
-        """The server has ended, or another has its address."""
+    def on_server_gone(self) -> None:
+        """Handles the end of the server process, or its replacement by another one at the same address."""
         self.open = False
         if self.instance:
             self.ended_instances.add(self.instance)
             self.upstream.remove(self.instance)
         self.instance = ""
-        self.turn_away(ErrorKind.LEAVING)
+        self.reject_all(ErrorKind.LEAVING)
 
-    def turn_away(self, fault: ErrorKind) -> None:
-        """Give back all that waits."""
-        queue, self.queued = self.queued, []
+    def reject_all(self, error: ErrorKind) -> None:
+        """Rejects all waiting calls with an error."""
+        queued, self.queued = self.queued, []
         late, self.late = self.late, deque()
-        for job in (*(entry[2] for entry in queue), *late):
-            self._end(job, fault, False)
+        for job in (*(entry[2] for entry in queued), *late):
+            self._finish(job, error, False)
 
-    def takes(self, kind: str) -> float:
-        """Seconds from sending a call of a kind to its answer, about."""
-        return self._means.get(kind, (self.mean_service_s, 0))[0]
+    def expected_service_s(self, kind: str) -> float:
+        """Returns the expected time from sending a call of a kind to its answer."""
+        return self._service_times.get(kind, (self.mean_service_s, 0))[0]
 
-    def pace(self, kind: str) -> float:
-        """The same as it is told to callers: 0 where no call of that kind has been answered yet."""
-        return self._means.get(kind, (0.0, 0))[0]
+    def measured_service_s(self, kind: str) -> float:
+        """Returns the mean service time of a kind as reported to other sidecars; 0 without samples."""
+        return self._service_times.get(kind, (0.0, 0))[0]
 
     def is_light(self, kind: str) -> bool:
-        """Whether a call takes little beside others here. Such calls go first, and are not given up for being
-        late: they hold up nobody, and most are made by runs that are lost without them."""
-        heavy = max((mean for mean, _ in self._means.values()), default=0.0)
-        return kind in self._means and self._means[kind][0] <= LIGHT * heavy
-
-    def wait(self) -> float:
-        """Seconds until a call that came now would go, about."""
-        room = self.budget.limit
-        if self.in_flight < room:
+        """Returns whether calls of a kind are short compared with others here.
+
+        Light calls are sent first and are not rejected for being late: they hardly delay others, and most of
+        them are made by running calls that would fail without them.
+        """
+        heaviest_s = max((mean for mean, _ in self._service_times.values()), default=0.0)
+        return kind in self._service_times and self._service_times[kind][0] <= LIGHT_FRACTION * heaviest_s
+
+    def expected_wait_s(self) -> float:
+        """Returns the expected queueing time of a new call."""
+        concurrency = self.budget.limit
+        if self.in_flight < concurrency:
             return 0.0
-        return (len(self.queued) + len(self.late) + 1) * self.mean_service_s / max(1, room)
+        return (len(self.queued) + len(self.late) + 1) * self.mean_service_s / max(1, concurrency)
 
-    def takes_calls(self) -> bool:
-        """Whether a call that came now would not be given back at once."""
+    def accepts_calls(self) -> bool:
+        """Returns whether a new call would be queued or sent instead of rejected at once."""
         if not self.open or not self.instance:
             return False
         return bool(self.budget.steps) or self.budget.trial_allowed(int(self._loop.time() * 1e9))
 
     def failure_rate(self) -> float:
-        """The part of calls that fail here of late. It fades with time: whoever gets no calls for it can't
-        show that it is well."""
-        return self._ill * math.exp2((self._ill_at - self._loop.time()) / ILL_FADES_S)
+        """Returns the recent fraction of failed calls.
 
-    def _judge(self, bad: bool) -> None:
-        """One call went well, or not. What a server says of its health counts for nothing."""
-        known = self.failure_rate()
-        self._ill = known + (bad - known) * ILL_GAIN
-        self._ill_at = self._loop.time()
+        It decays with time: a server that gets no calls because of it could not show that it has recovered.
+        """
+        return self._failure_rate * math.exp2(
+            (self._failure_rate_at - self._loop.time()) / FAILURE_HALF_LIFE_S
+        )
+
+    def _record_outcome(self, failed: bool) -> None:
+        """Updates the failure rate by one call. What a server reports of its own health is not considered."""
+        rate = self.failure_rate()
+        self._failure_rate = rate + (failed - rate) * FAILURE_SMOOTHING
+        self._failure_rate_at = self._loop.time()
 
-    def _ahead(self, due: float) -> float:
-        """The same for one with this due time: only what is due before it counts."""
-        before = sum(1 for entry in self.queued if entry[0] <= due)
-        return (before + 1) * self.mean_service_s / max(1, self.budget.limit)
+    def _expected_wait_before(self, due_at: float) -> float:
+        """Returns the expected queueing time of a call behind all calls that are due earlier."""
+        earlier = sum(1 for entry in self.queued if entry[0] <= due_at)
+        return (earlier + 1) * self.mean_service_s / max(1, self.budget.limit)
 
     def submit(self, job: Job) -> None:
-        """Take a call; it goes at once, waits by when it is due, or is given back."""
+        """Sends a call at once, queues it by its due time, or rejects it."""
         now = self._loop.time()
         if not self.open or not self.instance:
-            self._end(job, ErrorKind.LEAVING, False)
+            self._finish(job, ErrorKind.LEAVING, False)
             return
         if not self.budget.steps and (self.budget.trial_in_flight or now * 1e9 < self.budget.retry_at):
-            self._end(job, ErrorKind.FULL, False)  # nothing can take it soon
+            self._finish(job, ErrorKind.FULL, False)  # the server has no capacity in the near future
             return
         if self.in_flight >= self.budget.limit and not self.is_light(job.kind) and not self._fits(now, job):
-            # What is refused is refused at once: kept to be refused later, it would cost its client time.
-            self._pump()
+            # A call that can't be served in time is rejected at once: queueing it would cost its client time.
+            self._send_queued()
             if self.in_flight >= self.budget.limit and not self._displace(now, job):
-                self._end(job, ErrorKind.FULL, False)
+                self._finish(job, ErrorKind.FULL, False)
                 return
-        self._count += 1
-        order = job.due
+        self._submitted += 1
+        order = job.due_at
         if self.is_light(job.kind):
             order = now
-            job.due = job.last = max(job.last, job.deadline - SPARE * self.takes(job.kind))
-        heapq.heappush(self.queued, (order, self._count, job))
-        self._pump()
+            job.due_at = job.latest_start_at = max(
+                job.latest_start_at, job.deadline - LIGHT_RESERVE_FACTOR * self.expected_service_s(job.kind)
+            )
+        heapq.heappush(self.queued, (order, self._submitted, job))
+        self._send_queued()
 
     def _fits(self, now: float, job: Job) -> bool:
-        """Whether a call that comes now would most likely go in time."""
-        return now + self._ahead(job.due) <= job.due or now + self.wait() <= job.last
+        """Returns whether a new call is likely to start in time."""
+        return (
+            now + self._expected_wait_before(job.due_at) <= job.due_at
+            or now + self.expected_wait_s() <= job.latest_start_at
+        )
 
     def _displace(self, now: float, job: Job) -> bool:
-        """Give back calls of less urgency in place of one that would be refused; whether that helps. Of the
-        least urgent the one that is due last goes first; light ones hold up nobody and stay."""
+        """Rejects calls of lower priority in favour of one that would be rejected otherwise.
+
+        Returns whether the call fits afterwards. Of the calls of the lowest priority, the one due last is
+        rejected first. Light calls hardly delay others and are kept.
+        """
         waiting = [*(entry[2] for entry in self.queued), *self.late]
-        less = [one for one in waiting if one.priority > job.priority and not self.is_light(one.kind)]
-        less.sort(key=lambda one: (one.priority, one.due))
-        turn_s = self.mean_service_s / max(1, self.budget.limit)
-        sooner = sum(1 for one in less if one.due <= job.due)
+        candidates = [
+            other for other in waiting if other.priority > job.priority and not self.is_light(other.kind)
+        ]
+        candidates.sort(key=lambda other: (other.priority, other.due_at))
+        slot_s = self.mean_service_s / max(1, self.budget.limit)
+        earlier = sum(1 for other in candidates if other.due_at <= job.due_at)
         if (
-            now + self._ahead(job.due) - sooner * turn_s > job.due
-            and now + self.wait() - len(less) * turn_s > job.last
+            now + self._expected_wait_before(job.due_at) - earlier * slot_s > job.due_at
+            and now + self.expected_wait_s() - len(candidates) * slot_s > job.latest_start_at
         ):
-            return False  # it would not be in time either
-        while less and not self._fits(now, job):
-            other = less.pop()
-            self._take_out(other)
-            self._end(other, ErrorKind.FULL, False)
+            return False  # it would be late even so
+        while candidates and not self._fits(now, job):
+            displaced = candidates.pop()
+            self._remove(displaced)
+            self._finish(displaced, ErrorKind.FULL, False)
         return self._fits(now, job)
 
-    def _take_out(self, job: Job) -> None:
-        """A call waits no more."""
+    def _remove(self, job: Job) -> None:
+        """Removes a call from the queue."""
         self.queued = [entry for entry in self.queued if entry[2] is not job]
         heapq.heapify(self.queued)
         self.late = deque(waiting for waiting in self.late if waiting is not job)
 
     def withdraw(self, job: Job) -> None:
-        """Nobody waits for a call any more. One that waits goes no more; one that may run twice is broken off
-        at the server, which then ends work on it; any other runs on."""
-        if job.finished or job.withdrawn:
+        """Cancels a call whose client has disconnected.
+
+        A waiting call is removed. A running one is aborted if it may run more than once, which lets the
+        server stop its work; any other runs to completion.
+        """
+        if job.finished or job.cancelled:
             return
         if job.exchange is None:
-            job.withdrawn = True
-            self._take_out(job)
-            self._end(job, ErrorKind.REFUSED, False)
+            job.cancelled = True
+            self._remove(job)
+            self._finish(job, ErrorKind.REFUSED, False)
         elif job.repeatable:
-            job.withdrawn = True
+            job.cancelled = True
             job.exchange.cancel()
 
     def _next(self, now: float) -> Job | None:
-        """The call to go next; those that can't be in time any more step back behind all that can."""
-        while self.queued and now > self.queued[0][2].due:
+        """Returns the next call to send. Calls past their due time move behind all others."""
+        while self.queued and now > self.queued[0][2].due_at:
             self.late.append(heapq.heappop(self.queued)[2])
         if self.queued:
             return self.queued[0][2]
         while self.late:
             job = self.late[0]
-            if now <= job.last:
+            if now <= job.latest_start_at:
                 return job
             self.late.popleft()
-            self._end(job, ErrorKind.FULL, False)
+            self._finish(job, ErrorKind.FULL, False)
         return None
 
-    def _pump(self) -> None:
+    def _send_queued(self) -> None:
+        """Sends waiting calls for as long as the budget permits."""
         now = self._loop.time()
         while (job := self._next(now)) is not None:
-            goes, trial = self.budget.check_admission(int(now * 1e9), self.in_flight)
-            if not goes:
+            permitted, trial = self.budget.check_admission(int(now * 1e9), self.in_flight)
+            if not permitted:
                 break
             if self.queued and self.queued[0][2] is job:
                 heapq.heappop(self.queued)
             else:
                 self.late.popleft()
             self._send(now, job, trial)
-        self._arm()
+        self._set_timer()
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
+        """Schedules a check for the earliest time at which a waiting call expires or a trial is due."""
         if self._timer is None and (self.queued or self.late):
             now = self._loop.time()
-            at = min([entry[2].last for entry in self.queued] + [job.last for job in self.late])
+            at = min(
+                [entry[2].latest_start_at for entry in self.queued]
+                + [job.latest_start_at for job in self.late]
+            )
             if not self.budget.trial_in_flight and self.budget.retry_at > now * 1e9:
                 at = min(at, self.budget.retry_at / 1e9)
-            self._timer = self._loop.call_later(max(0.001, at - now), self._look)
+            self._timer = self._loop.call_later(max(0.001, at - now), self._on_timer)
 
-    def _look(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         now = self._loop.time()
-        for job in [job for job in self.late if now > job.last]:
+        for job in [job for job in self.late if now > job.latest_start_at]:
             self.late.remove(job)
-            self._end(job, ErrorKind.FULL, False)
-        self._pump()
+            self._finish(job, ErrorKind.FULL, False)
+        self._send_queued()
 
     def _send(self, now: float, job: Job, trial: bool) -> None:
-        left = job.deadline - now
+        remaining_s = job.deadline - now
         instance = self.instance
-        if left <= NETWORK_MARGIN_S:
-            self._end(job, ErrorKind.FULL, False)
+        if remaining_s <= NETWORK_MARGIN_S:
+            self._finish(job, ErrorKind.FULL, False)
             return
         exchange = self.upstream.exchange(
             instance,
             lambda: job.build_request(job.deadline - self._loop.time(), instance),
-            left,
-            lambda how, answer: self._ended(job, instance, how, answer),
+            remaining_s,
+            lambda outcome, answer: self._on_end(job, instance, outcome, answer),
         )
         if exchange is None:
-            self._end(job, ErrorKind.LEAVING, False)
+            self._finish(job, ErrorKind.LEAVING, False)
             return
-        exchange.expect = (b"x-attempt-id", job.tid)
-        job.trial, job.exchange, job.began = trial, exchange, now
+        exchange.expect = (b"x-attempt-id", job.attempt_id)
+        job.trial, job.exchange, job.started_at = trial, exchange, now
         self.budget.trial_in_flight = self.budget.trial_in_flight or trial
         self.in_flight += 1
         if job.on_overdue is not None:
-            job.timer = self._loop.call_later(OVERDUE * self.takes(job.kind), job.on_overdue)
+            job.timer = self._loop.call_later(
+                OVERDUE_FACTOR * self.expected_service_s(job.kind), job.on_overdue
+            )
         exchange.start()
 
-    def _ended(self, job: Job, instance: str, how: AttemptOutcome, answer: Any) -> None:
+    def _on_end(self, job: Job, instance: str, outcome: AttemptOutcome, answer: Any) -> None:
+        """Handles the outcome of a call that was sent."""
         self.in_flight -= 1
         now = self._loop.time()
         if job.timer is not None:
@@ -352,71 +398,74 @@
             budget.trial_in_flight = False
         if reply is not None and (reply.header(b"x-not-run") is not None or reply.status == 421):
             if current:
-                self._failed(now, trial)
+                self._on_failure(now, trial)
                 if reply.status == 421:
-                    self.gone()
-                    self.replaced((reply.header(b"x-instance-id") or b"").decode("latin-1"))
+                    self.on_server_gone()
+                    self.on_replaced((reply.header(b"x-instance-id") or b"").decode("latin-1"))
                 else:
                     budget.lower_concurrency()
-            self._end(job, ErrorKind.LEAVING if reply.status == 421 else ErrorKind.FULL, True, reply)
+            self._finish(job, ErrorKind.LEAVING if reply.status == 421 else ErrorKind.FULL, True, reply)
         elif reply is not None and (reply.header(b"x-server-seal") is not None or reply.status >= 400):
             if current:
-                self._learn(reply)
-                self._judge(reply.status >= 500)
-                self._served(now, job, trial, reply.status < 500)
-            self._end(job, None, True, reply)
+                self._learn_keep_alive(reply)
+                self._record_outcome(reply.status >= 500)
+                self._on_answer(now, job, trial, reply.status < 500)
+            self._finish(job, None, True, reply)
         else:
-            fault, arrived = ErrorKind.BROKEN, True
-            if how == AttemptOutcome.TIMEOUT:
-                fault = ErrorKind.LATE
-            elif how in (AttemptOutcome.MOOT, AttemptOutcome.CONNECT_FAILED) and not self._written(job):
-                fault, arrived = ErrorKind.FULL, False
-            if (
-                current and how != AttemptOutcome.MOOT and not job.withdrawn
-            ):  # what was broken off here tells nothing
-                self._judge(True)
-                self._failed(now, trial, how in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET))
-            self._end(job, fault, arrived)
-        self._pump()
-
-    def _served(self, now: float, job: Job, trial: bool, well: bool) -> None:
-        """What an answer tells. A failure comes sooner than the work would: it tells no pace, or who fails
-        would draw all calls."""
+            error, arrived = ErrorKind.BROKEN, True
+            if outcome == AttemptOutcome.TIMEOUT:
+                error = ErrorKind.LATE
+            elif outcome in (AttemptOutcome.MOOT, AttemptOutcome.CONNECT_FAILED) and not self._written(job):
+                error, arrived = ErrorKind.FULL, False
+            # A call that was cancelled here says nothing about the server.
+            if current and outcome != AttemptOutcome.MOOT and not job.cancelled:
+                self._record_outcome(True)
+                self._on_failure(now, trial, outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.RESET))
+            self._finish(job, error, arrived)
+        self._send_queued()
+
+    def _on_answer(self, now: float, job: Job, trial: bool, succeeded: bool) -> None:
+        """Updates the budget and the service times after an answer.
+
+        Failures don't count as service times: they come sooner than the work would take, so a failing server
+        would attract all calls.
+        """
         self.budget.raise_concurrency()
         if trial:
             self.budget.add_step()
-        if not well:
+        if not succeeded:
             return
         self._samples += 1
-        took = now - job.began
-        self.mean_service_s += (took - self.mean_service_s) * max(0.1, 1.0 / self._samples)
-        mean, count = self._means.get(job.kind, (0.0, 0))
-        mean += (took - mean) * max(0.05, 1.0 / (count + 1))
-        if count or len(self._means) < MOST_KINDS:
-            self._means[job.kind] = (mean, count + 1)
-
-    def _failed(self, now: float, trial: bool, broken: bool = False) -> None:
-        """What a refusal, a failure, a break or silence tells."""
-        budget, at = self.budget, int(now * 1e9)
+        service_s = now - job.started_at
+        self.mean_service_s += (service_s - self.mean_service_s) * max(0.1, 1.0 / self._samples)
+        mean_s, samples = self._service_times.get(job.kind, (0.0, 0))
+        mean_s += (service_s - mean_s) * max(0.05, 1.0 / (samples + 1))
+        if samples or len(self._service_times) < MAX_KINDS:
+            self._service_times[job.kind] = (mean_s, samples + 1)
+
+    def _on_failure(self, now: float, trial: bool, connection_failed: bool = False) -> None:
+        """Updates the budget after a refusal, a failed connection, a reset or a timeout."""
+        budget, now_ns = self.budget, int(now * 1e9)
         if trial:
-            budget.back_off(at, FIRST_BACKOFF_NS, LAST_BACKOFF_NS, random.random)
-        elif broken and budget.steps:
+            budget.back_off(now_ns, INITIAL_BACKOFF_NS, MAX_BACKOFF_NS, random.random)
+        elif connection_failed and budget.steps:
             budget.remove_step()
             if not budget.steps:
-                budget.start_backoff(at, FIRST_BACKOFF_NS, random.random)
+                budget.start_backoff(now_ns, INITIAL_BACKOFF_NS, random.random)
 
     @staticmethod
     def _written(job: Job) -> bool:
-        """Whether anything of the call may have reached the server."""
+        """Returns whether any part of the call may have reached the server."""
         return job.exchange is not None and job.exchange.touched
 
-    def _learn(self, reply: Reply) -> None:
-        """How long the server keeps idle connections, where it tells."""
-        kept = reply.header(b"keep-alive")
-        if kept is not None and kept.startswith(b"timeout=") and kept[8:].isdigit():
-            self.upstream.keep(min(KEPT_S, float(kept[8:]) * 1.5) * IDLE_TIMEOUT_FRACTION)
+    def _learn_keep_alive(self, reply: Reply) -> None:
+        """Adopts the idle timeout that the server announces, if any."""
+        keep_alive = reply.header(b"keep-alive")
+        if keep_alive is not None and keep_alive.startswith(b"timeout=") and keep_alive[8:].isdigit():
+            self.upstream.keep(min(IDLE_TIMEOUT_S, float(keep_alive[8:]) * 1.5) * IDLE_TIMEOUT_FRACTION)
 
-    def _end(self, job: Job, fault: ErrorKind | None, arrived: bool, reply: Reply | None = None) -> None:
+    def _finish(self, job: Job, error: ErrorKind | None, arrived: bool, reply: Reply | None = None) -> None:
+        """Reports the result of a call, once."""
         if not job.finished:
             job.finished = True
-            job.done(fault, arrived, reply)
+            job.on_done(error, arrived, reply)
--- a/mesh/transport/connection.py
+++ b/mesh/transport/connection.py
@@ -1,8 +1,9 @@
-"""Connections: held TCP connections between the system's processes, carrying cbor2 messages.
+"""Persistent TCP connections between the processes of the mesh.
 
-A message is a list that begins with its kind. It goes as four bytes of length and the encoding. Whoever has
-heard nothing for a while asks; one that stays silent is given up, also where a cut says nothing (RFC 5482 for
-TCP_USER_TIMEOUT, where the kernel has it).
+A frame is a four-byte big-endian length followed by a CBOR-encoded message. Each end pings a peer that has
+been silent for a while, and closes the connection if it stays silent. This also detects a network partition,
+in which no reset arrives. Where the kernel supports it, TCP_USER_TIMEOUT (RFC 5482) limits the time that sent
+data may remain unacknowledged.
 """
 
 from __future__ import annotations
@@ -21,40 +22,39 @@
 from mesh.settings import Address
 from mesh.transport.messages import KINDS, Message, Ping, Pong, decode, encode
 
-MOST = 80 << 20  # bytes of one message
-ASK_S = 1.0  # after so long a silence the other side is asked
-DEAD_S = 2.4  # and after so long it is given up
-IDLE_PING_INTERVAL_S = (
-    8.0  # the same for one of many on which nothing is waited for: asking would cost more than it tells
-)
-DIAL_S = 0.8
-FIRST_PAUSE_S, LAST_PAUSE_S = 0.05, 0.8
+MAX_MESSAGE_BYTES = 80 << 20
+PING_INTERVAL_S = 1.0  # silence after which the peer is pinged
+PEER_TIMEOUT_S = 2.4  # silence after which the connection is closed
+IDLE_PING_INTERVAL_S = 8.0
+"""Ping interval of connections that are many and mostly idle, where frequent pings would cost too much."""
+CONNECT_TIMEOUT_S = 0.8
+MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.05, 0.8
 
 MessageHandler = Callable[["PeerConnection", Message], None]
 
 LENGTH_BYTES = 4
-WIDE_KIND = 24  # CBOR writes a whole number from here on behind a byte of its own
+TWO_BYTE_KIND = 24  # CBOR encodes integers from here on in more than one byte
 
 
 class Traffic:
-    """Bytes between this process and others of the mesh, by kind of message."""
+    """Counts bytes exchanged with other processes of the mesh, by kind of message."""
 
     def __init__(self) -> None:
-        self._sent: dict[int, int] = {}  # by number of the kind
+        self._sent: dict[int, int] = {}  # by tag
         self._received: dict[int, int] = {}
 
     def sent(self, packed: bytes) -> None:
-        """A message goes out."""
-        kind = _kind_number(packed, LENGTH_BYTES)
+        """Counts an outgoing frame."""
+        kind = _tag_of(packed, LENGTH_BYTES)
         self._sent[kind] = self._sent.get(kind, 0) + len(packed)
 
     def received(self, data: bytes) -> None:
-        """A message has come, without its length."""
-        kind = _kind_number(data, 0)
+        """Counts an incoming message; `data` excludes the length prefix."""
+        kind = _tag_of(data, 0)
         self._received[kind] = self._received.get(kind, 0) + len(data) + LENGTH_BYTES
 
     def metrics(self) -> Iterator[Figure]:
-        """All families."""
+        """Returns the metric families."""
         values: dict[Labels, float] = {
             (direction, KINDS[kind].__name__ if kind in KINDS else OTHER): float(size)
             for direction, counts in (("sent", self._sent), ("received", self._received))
@@ -69,41 +69,45 @@
         )
 
 
-def _kind_number(data: bytes, at: int) -> int:
-    """The number that an encoded message begins with, behind the head of its array; -1 for none."""
-    if len(data) < at + 3:
+def _tag_of(data: bytes, offset: int) -> int:
+    """Returns the tag of the encoded message at an offset, which follows the array header, or -1 for none."""
+    if len(data) < offset + 3:
         return -1
-    first = data[at + 1]
-    return first if first < WIDE_KIND else data[at + 2]
+    first = data[offset + 1]
+    return first if first < TWO_BYTE_KIND else data[offset + 2]
 
 
 traffic = Traffic()
-"""Of this process."""
+"""The traffic of this process."""
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, either end."""
+    """One connection to another process of the mesh, for either end.
+
+    `on_message` is called with each message; `on_connect` and `on_disconnect` are called when the connection
+    opens and closes.
+    """
 
     def __init__(
         self,
-        heard: MessageHandler,
-        up: Callable[[PeerConnection], None],
-        down: Callable[[PeerConnection], None],
-        ask_s: float = ASK_S,
+        on_message: MessageHandler,
+        on_connect: Callable[[PeerConnection], None],
+        on_disconnect: Callable[[PeerConnection], None],
+        ping_interval_s: float = PING_INTERVAL_S,
     ) -> None:
-        self._heard, self._up, self._down = heard, up, down
-        self._ask_s = ask_s
-        self._waits = 0  # answers that are waited for
-        self._since = 0.0  # since when
+        self._on_message, self._on_connect, self._on_disconnect = on_message, on_connect, on_disconnect
+        self._ping_interval_s = ping_interval_s
+        self._expected_answers = 0
+        self._expecting_since = 0.0
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
-        self._rest = bytearray()
-        self._out: list[bytes] = []
-        self._due = False
-        self._at = 0.0  # when something was heard last
+        self._buffer = bytearray()
+        self._outgoing: list[bytes] = []
+        self._flush_scheduled = False
+        self._last_received_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self.open = False
-        self.peer: Any = None  # for the owner
+        self.peer: Any = None  # identifies the peer; set by the owner
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -111,11 +115,11 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             if hasattr(socket, "TCP_USER_TIMEOUT"):
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(DEAD_S * 1000))
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(PEER_TIMEOUT_S * 1000))
         self.open = True
-        self._at = self._loop.time()
-        self._timer = self._loop.call_later(self._ask_s, self._watch)
-        self._up(self)
+        self._last_received_at = self._loop.time()
+        self._timer = self._loop.call_later(self._ping_interval_s, self._check_alive)
+        self._on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._close()
@@ -126,182 +130,195 @@
         self.open = False
         if self._timer is not None:
             self._timer.cancel()
-        self._out = []
-        self._down(self)
+        self._outgoing = []
+        self._on_disconnect(self)
 
     def abort(self) -> None:
-        """Close at once; what is on its way is lost."""
+        """Closes the connection at once; data in transit is lost."""
         if self._transport is not None:
             self._transport.abort()
         self._close()
 
     @property
     def last_received_at(self) -> float:
-        """When anything was heard last, by the loop's clock."""
-        return self._at
+        """Time of the event loop at which data was last received."""
+        return self._last_received_at
 
-    def expect_answers(self, more: int) -> None:
-        """So many more answers are waited for here: while any is, the other side is asked as often as usual.
+    def expect_answers(self, count: int) -> None:
+        """Adds to the number of awaited responses; while it is not zero, the usual ping interval applies.
 
-        A sidecar has a connection to each other one, and asking on all of them each second, whether anything
-        is under way or not, grows with the fleet; who is silent there is told by the hedge as well.
+        A sidecar has connections to many others. Pinging on all of them every second, whether or not a call
+        is in flight, would cost more as the fleet grows, and hedging also detects a silent peer.
         """
-        self._waits += more
-        if self._waits == more == 1 and self._ask_s > ASK_S and self._timer is not None:
-            self._since = self._loop.time()
+        self._expected_answers += count
+        if (
+            self._expected_answers == count == 1
+            and self._ping_interval_s > PING_INTERVAL_S
+            and self._timer is not None
+        ):
+            self._expecting_since = self._loop.time()
             self._timer.cancel()
-            self._timer = self._loop.call_later(ASK_S, self._watch)
+            self._timer = self._loop.call_later(PING_INTERVAL_S, self._check_alive)
 
-    def _watch(self) -> None:
-        quiet = self._loop.time() - max(self._at, self._since)
-        ask_s = ASK_S if self._waits else self._ask_s
-        if quiet >= ask_s * DEAD_S / ASK_S:
+    def _check_alive(self) -> None:
+        silence_s = self._loop.time() - max(self._last_received_at, self._expecting_since)
+        ping_interval_s = PING_INTERVAL_S if self._expected_answers else self._ping_interval_s
+        if silence_s >= ping_interval_s * PEER_TIMEOUT_S / PING_INTERVAL_S:
             self.abort()
             return
-        if quiet >= ask_s * 0.95:
+        if silence_s >= ping_interval_s * 0.95:
             self.send(Ping())
-        self._timer = self._loop.call_later(ask_s, self._watch)
+        self._timer = self._loop.call_later(ping_interval_s, self._check_alive)
 
     def data_received(self, data: bytes) -> None:
-        self._at = self._loop.time()
-        rest = self._rest
-        rest += data
-        at, size = 0, len(rest)
-        while size - at >= 4:
-            length = int.from_bytes(rest[at : at + 4], "big")
-            if length > MOST:
+        self._last_received_at = self._loop.time()
+        buffer = self._buffer
+        buffer += data
+        offset, size = 0, len(buffer)
+        while size - offset >= 4:
+            length = int.from_bytes(buffer[offset : offset + 4], "big")
+            if length > MAX_MESSAGE_BYTES:
                 self.abort()
                 return
-            if size - at - 4 < length:
+            if size - offset - 4 < length:
                 break
-            encoded = bytes(rest[at + 4 : at + 4 + length])
+            encoded = bytes(buffer[offset + 4 : offset + 4 + length])
             traffic.received(encoded)
             try:
                 message = decode(cbor2.loads(encoded))
             except Exception:
-                logger.warning("a message that can't be read; the connection is closed")
+                logger.warning("received an invalid message; closing the connection")
                 self.abort()
                 return
-            at += 4 + length
-            self._take(message)
+            offset += 4 + length
+            self._dispatch(message)
             if not self.open:
                 return
-        if at:
-            del rest[:at]
+        if offset:
+            del buffer[:offset]
 
-    def _take(self, message: Message | None) -> None:
-        """One message; None: of a kind that only newer versions know."""
+    def _dispatch(self, message: Message | None) -> None:
+        """Handles one message; None stands for a message kind of a newer version."""
         if isinstance(message, Ping):
             self.send(Pong())
         elif message is not None and not isinstance(message, Pong):
             try:
-                self._heard(self, message)
+                self._on_message(self, message)
             except Exception:
-                logger.exception("a message could not be handled")
+                logger.exception("error while handling a message")
 
     def send(self, message: Message) -> None:
-        """Write a message; what is sent to a closed connection is lost, which its owner has been told."""
+        """Sends a message. On a closed connection it is dropped; `on_disconnect` has been called by then."""
         self.send_packed(pack(message))
 
     def send_packed(self, packed: bytes) -> None:
-        """The same for one that is packed already. What is written in one turn goes out together."""
+        """Sends a frame made by `pack`. Frames of one iteration of the event loop are written together."""
         if not self.open:
             return
         traffic.sent(packed)
-        self._out.append(packed)
-        if not self._due:
-            self._due = True
+        self._outgoing.append(packed)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._due = False
-        out, self._out = self._out, []
-        if self._transport is not None and out and not self._transport.is_closing():
-            self._transport.write(out[0] if len(out) == 1 else b"".join(out))
+        self._flush_scheduled = False
+        frames, self._outgoing = self._outgoing, []
+        if self._transport is not None and frames and not self._transport.is_closing():
+            self._transport.write(frames[0] if len(frames) == 1 else b"".join(frames))
 
-    def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+    def unsent_bytes(self) -> int:
+        """Returns the number of buffered bytes that the kernel has not accepted yet."""
         return self._transport.get_write_buffer_size() if self._transport is not None else 0
 
 
 def pack(message: Message) -> bytes:
-    """A message as it goes over a connection: four bytes of length, and its encoding."""
+    """Returns the frame of a message: a four-byte length and its encoding."""
     data = cbor2.dumps(encode(message))
     return len(data).to_bytes(4, "big") + data
 
 
 class Dialer:
-    """Keeps one connection to an address, opened again whenever it has ended."""
+    """Maintains a connection to an address and reconnects with backoff whenever it closes."""
 
     def __init__(
         self,
         address: Address,
-        heard: MessageHandler,
-        up: Callable[[PeerConnection], None],
-        down: Callable[[PeerConnection], None],
-        ask_s: float = ASK_S,
+        on_message: MessageHandler,
+        on_connect: Callable[[PeerConnection], None],
+        on_disconnect: Callable[[PeerConnection], None],
+        ping_interval_s: float = PING_INTERVAL_S,
     ) -> None:
-        self.address, self._ask_s = address, ask_s
-        self._heard, self._on_up, self._on_down = heard, up, down
+        self.address, self._ping_interval_s = address, ping_interval_s
+        self._on_message, self._on_connect, self._on_disconnect = on_message, on_connect, on_disconnect
         self.connection: PeerConnection | None = None
-        self._again = asyncio.Event()
-        self._hurried = asyncio.Event()
+        self._disconnected = asyncio.Event()
+        self._retry_requested = asyncio.Event()
         self._stopped = False
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """Keep it no more."""
+        """Closes the connection and stops reconnecting."""
         self._stopped = True
         self._task.cancel()
         if self.connection is not None:
             self.connection.abort()
 
     def retry_now(self) -> None:
-        """The other side is there, as it has just said: don't wait for the next try."""
-        self._hurried.set()
+        """Ends the current reconnect delay; called when the peer is known to be reachable."""
+        self._retry_requested.set()
 
-    def _up(self, connection: PeerConnection) -> None:
+    def _handle_connect(self, connection: PeerConnection) -> None:
         self.connection = connection
-        self._on_up(connection)
+        self._on_connect(connection)
 
-    def _down(self, connection: PeerConnection) -> None:
+    def _handle_disconnect(self, connection: PeerConnection) -> None:
         if self.connection is connection:
             self.connection = None
-        self._again.set()
-        self._on_down(connection)
+        self._disconnected.set()
+        self._on_disconnect(connection)
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
-        pause = FIRST_PAUSE_S
+        delay_s = MIN_RECONNECT_DELAY_S
         while not self._stopped:
-            self._again.clear()
+            self._disconnected.clear()
             try:
-                async with asyncio.timeout(DIAL_S):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await loop.create_connection(
-                        lambda: PeerConnection(self._heard, self._up, self._down, self._ask_s), *self.address
+                        lambda: PeerConnection(
+                            self._on_message,
+                            self._handle_connect,
+                            self._handle_disconnect,
+                            self._ping_interval_s,
+                        ),
+                        *self.address,
                     )
             except (OSError, TimeoutError):
                 pass
             else:
-                began = loop.time()
-                await self._again.wait()
-                if loop.time() - began > LAST_PAUSE_S:
-                    pause = FIRST_PAUSE_S
-            self._hurried.clear()
+                connected_at = loop.time()
+                await self._disconnected.wait()
+                if loop.time() - connected_at > MAX_RECONNECT_DELAY_S:
+                    delay_s = MIN_RECONNECT_DELAY_S
+            self._retry_requested.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._hurried.wait(), pause * (0.75 + random.random() / 2))
-            pause = min(2 * pause, LAST_PAUSE_S)
+                await asyncio.wait_for(self._retry_requested.wait(), delay_s * (0.75 + random.random() / 2))
+            delay_s = min(2 * delay_s, MAX_RECONNECT_DELAY_S)
 
 
 async def listen(
     address: Address,
-    heard: MessageHandler,
-    up: Callable[[PeerConnection], None],
-    down: Callable[[PeerConnection], None],
-    ask_s: float = ASK_S,
+    on_message: MessageHandler,
+    on_connect: Callable[[PeerConnection], None],
+    on_disconnect: Callable[[PeerConnection], None],
+    ping_interval_s: float = PING_INTERVAL_S,
 ) -> asyncio.Server:
-    """Take connections that others dial."""
+    """Accepts connections from other processes of the mesh."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(
-        lambda: PeerConnection(heard, up, down, ask_s), address.host, address.port, backlog=512
+        lambda: PeerConnection(on_message, on_connect, on_disconnect, ping_interval_s),
+        address.host,
+        address.port,
+        backlog=512,
     )
--- a/mesh/transport/http_server.py
+++ b/mesh/transport/http_server.py
@@ -1,4 +1,4 @@
-"""The mesh's own HTTP addresses: the daemon's HTTP/1.1 front, with whole bodies and one handler."""
+"""HTTP servers of the mesh: the daemon's HTTP/1.1 server with buffered bodies and a single handler."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 from hollyport.http.message import Message
 from mesh.settings import Address
 
-NO_FLOWS = Ledger(0)
-"""No body is passed through as it comes."""
-MOST_CONNECTIONS = 2500
+NO_STREAMED_BODIES = Ledger(0)
+"""Bodies are always buffered, never streamed."""
+MAX_CONNECTIONS = 2500
 
 
 class HttpServer:
-    """A listening address, and what its connections need to know."""
+    """A listening address with its request handler and limits."""
 
     listener: Listener
 
     def __init__(self, serve: Callable[[Message], None], hangup: Callable[[Message], None]) -> None:
         self.serve, self.hangup = serve, hangup
-        self.max_body, self.max_head = MAX_BODY, MAX_HEAD  # of connections made from now on
+        self.max_body, self.max_head = MAX_BODY, MAX_HEAD  # of future connections
 
-    def update_limits(self, head: int, body: int, head_s: float, idle_s: float) -> None:
-        """What a client may send, and how long it may take or stay idle, in bytes and seconds."""
-        self.max_head, self.max_body = head, body
-        self.listener.patience(head_s, idle_s)
+    def update_limits(
+        self, max_head: int, max_body: int, head_timeout_s: float, idle_timeout_s: float
+    ) -> None:
+        """Sets the maximum sizes in bytes, and the timeouts of requests and idle connections."""
+        self.max_head, self.max_body = max_head, max_body
+        self.listener.patience(head_timeout_s, idle_timeout_s)
 
 
-class Caller(ClientConnection):
-    """One connection of whoever calls."""
+class HttpConnection(ClientConnection):
+    """One connection of a client."""
 
     def __init__(self, listener: Listener, loop: asyncio.AbstractEventLoop, server: HttpServer) -> None:
-        super().__init__(listener, loop, server, _no_class, {}, NO_FLOWS)  # type: ignore[arg-type]
+        super().__init__(listener, loop, server, _no_route, {}, NO_STREAMED_BODIES)  # type: ignore[arg-type]
         self._http_server = server
         self._max_body, self._max_head = server.max_body, server.max_head
 
     def _read_terms(self, message: Message) -> None:
-        """Bodies of any size are read whole."""
+        """Does nothing: bodies of any size are buffered."""
 
     def _begin(self, message: Message) -> None:
         self._active = message
@@ -56,8 +58,8 @@
             message.answer(500)
 
 
-def _no_class(message: Message) -> Any:
-    """The daemon's classes of requests: there are none here."""
+def _no_route(message: Message) -> Any:
+    """Rejects each request; the daemon's request classes are not used here."""
     return 404
 
 
@@ -65,11 +67,13 @@
     address: Address,
     serve: Callable[[Message], None],
     hangup: Callable[[Message], None] | None = None,
-    most: int = MOST_CONNECTIONS,
+    max_connections: int = MAX_CONNECTIONS,
 ) -> HttpServer:
-    """Listen at an address."""
+    """Starts an HTTP server that calls `serve` for each request and `hangup` when a client disconnects."""
     loop = asyncio.get_running_loop()
     server = HttpServer(serve, hangup or (lambda message: None))
-    server.listener = Listener(lambda listener: Caller(listener, loop, server), most, most)
+    server.listener = Listener(
+        lambda listener: HttpConnection(listener, loop, server), max_connections, max_connections
+    )
     await server.listener.start(loop, address.host, address.port)
     return server
--- a/mesh/transport/messages.py
+++ b/mesh/transport/messages.py
@@ -1,10 +1,12 @@
-"""The messages between the mesh's own processes.
+"""Messages exchanged between the processes of the mesh, and their encoding.
 
-On the wire a message is a CBOR array that begins with its kind (`encode`, `decode`); 0 and 1 are the
-connection's own questions for signs of life. What a newer version adds at the end is left out by an older
-one, and what an older one does not tell has a default here; a kind that is not known is ignored.
+On the wire a message is a CBOR array whose first element is the message's tag (`encode`, `decode`). Tags 0
+and 1 are the keepalive messages `Ping` and `Pong`.
 
-Rounds are questions that are put to several machines: `round` comes back with each answer.
+Compatibility: newer versions only append fields. A receiver ignores fields that it does not know, fields that
+an older sender omits have defaults, and messages with an unknown tag are ignored.
+
+Requests that go to several machines carry a `round`, which each response repeats.
 """
 
 from __future__ import annotations
@@ -23,77 +25,76 @@
 from mesh.state.quorum import PeerView, Voters
 
 VERSION = 4
-"""Of a sidecar's messages, as it tells it in its record: from 2 on it takes bodies in chunks and answers a
-`LoadQuery`; from 3 on it understands `Cancel`, from 4 on `RecordsDigest`."""
+"""Protocol version of a sidecar, published in its record. Version 2 added chunked bodies and `LoadQuery`,
+version 3 `Cancel`, and version 4 `RecordsDigest`."""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """What all messages have in common: an array on the wire, immutable here."""
+    """Base class of all messages: immutable, and encoded as an array."""
 
 
 def checksum(rows: Sequence[Any]) -> int:
-    """CRC-32 of the CBOR of rows that are transferred: a version may have any number of digits there."""
+    """Returns the CRC-32 of the CBOR encoding of rows, as versions may have any number of digits."""
     return crc32(cbor2.dumps(msgspec.to_builtins(rows, builtin_types=(bytes,))))
 
 
-def matches_checksum(rows: Sequence[Any], told: int | None) -> bool:
-    """Whether rows are those that were sent, by the checksum that came with them. An older version tells
-    none."""
-    return told is None or told == checksum(rows)
+def matches_checksum(rows: Sequence[Any], expected: int | None) -> bool:
+    """Returns whether rows match their checksum; older senders send none, which counts as a match."""
+    return expected is None or expected == checksum(rows)
 
 
 class Answer(Message, frozen=True):
-    """An answer to a question that was put to several machines."""
+    """Base class of responses to requests that go to several machines."""
 
     round: int
 
 
 class SidecarRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What a sidecar tells of itself and of the server beside it."""
+    """A sidecar's description of itself and of its local server."""
 
     node: str
-    address: str  # where it listens for other processes of the mesh
+    address: str  # where it accepts connections of other processes of the mesh
     zone: str
     service: str
-    instance: str  # id of its server's life; empty: there is none
+    instance: str  # id of the server process; empty if there is none
     slots: int
-    is_open: bool  # whether it takes requests
-    warm_up_s: float  # how much longer its server is slow
-    incarnation: int  # of the sidecar's process: later ones are greater
-    number: int  # of this record in that life
+    is_open: bool  # whether it accepts requests
+    warm_up_s: float  # how much longer its server is warming up
+    incarnation: int  # of the sidecar's process; later processes have greater values
+    number: int  # of this record within the incarnation
     version: int = 0
 
     @property
     def order(self) -> tuple[int, int]:
-        """Of two records of one node the greater order is the newer."""
+        """Sort key by which the newer of two records of a node is the greater."""
         return self.incarnation, self.number
 
 
-# --- which processes there are
+# --- membership
 
 
 class Hello(Message, frozen=True, tag=10):
-    """Controller to controller: first of all on a connection, and whenever any of it changes."""
+    """Controller to controller: the first message on a connection, sent again whenever a field changes."""
 
     address: str
     voters: Voters
-    controllers: tuple[str, ...]  # all that are known
+    controllers: tuple[str, ...]  # all known controllers
     zone: str = ""
     voters_before: tuple[str, ...] = ()
-    caught_up_epoch: int = -1  # the epoch that its disk is whole in; -1: of a version that knows no epochs
+    caught_up_epoch: int = -1  # the epoch whose data its disk holds in full; -1 from versions without epochs
     incarnations: dict[str, int] = {}
-    forgotten: dict[str, int] = {}  # by controller: the life that is over
+    forgotten: dict[str, int] = {}  # controllers removed from the membership, with their last incarnation
 
 
 class Register(Message, frozen=True, tag=11):
-    """Sidecar to controller: first of all on a connection, and whenever its record changes."""
+    """Sidecar to controller: the first message on a connection, sent again whenever its record changes."""
 
     record: SidecarRecord
     version: int = 0
 
 
 class Controllers(Message, frozen=True, tag=12):
-    """Controller to sidecar: which controllers there are."""
+    """Controller to sidecar: the known controllers."""
 
     addresses: tuple[str, ...]
     zone: str  # of the sender
@@ -102,7 +103,7 @@
 
 
 class CurrentVoters(Message, frozen=True, tag=13):
-    """Controller to sidecar: whose disks count."""
+    """Controller to sidecar: the current voters."""
 
     epoch: int
     names: tuple[str, ...]
@@ -115,36 +116,36 @@
 
 
 class RecordsDigest(Message, frozen=True, tag=25):
-    """Controller to the sidecars that follow another one: the digest of all records that it holds."""
+    """Controller to sidecars that follow another controller: the digest of all records it holds."""
 
     digest: int
 
 
 class PullRecords(Message, frozen=True, tag=26):
-    """Sidecar to a controller that holds other records than it: tell me all of them."""
+    """Sidecar to a controller whose records differ from its own: requests all of them."""
 
 
 class EndpointGone(Message, frozen=True, tag=23):
-    """Controller to sidecar: that life of a sidecar has not been seen for long."""
+    """Controller to sidecar: an incarnation of a sidecar has been out of contact for long."""
 
     node: str
     incarnation: int
 
 
 class NewerLifeKnown(Message, frozen=True, tag=24):
-    """Controller to sidecar: a record of its name and a later life is known."""
+    """Controller to sidecar: a record with its name and a later incarnation is known."""
 
     incarnation: int
 
 
 class RecordChanged(Message, frozen=True, tag=52):
-    """Sidecar to the sidecars that send to it."""
+    """Sidecar to the sidecars that send requests to it: its record has changed."""
 
     record: SidecarRecord
 
 
 class Forgotten(Message, frozen=True, tag=67):
-    """Controller to one that was forgotten with that life."""
+    """Controller to a controller that was removed from the membership with this incarnation."""
 
     incarnation: int
 
@@ -153,25 +154,25 @@
 
 
 class Follow(Message, frozen=True, tag=14):
-    """Sidecar to the one controller that it hears tables and changes from; None: no longer."""
+    """Sidecar to a controller: subscribes to configuration updates; a digest of None unsubscribes."""
 
     digest: int | None
 
 
 class Digest(Message, frozen=True, tag=15):
-    """Controller to sidecar: the digest of all items that it may tell."""
+    """Controller to sidecar: the digest of all items that it may distribute."""
 
     digest: int
 
 
 class Pull(Message, frozen=True, tag=16):
-    """Sidecar to controller: what of the buckets that differ do I lack? (`distribution.Copy`)"""
+    """Sidecar to controller: requests the items it lacks, by bucket digests (see `distribution.Copy`)."""
 
     buckets: bytes
 
 
 class Items(Message, frozen=True, tag=20):
-    """Controller to sidecar: items that are news, or all."""
+    """Controller to sidecar: new items, or all items."""
 
     number: int
     items: tuple[Item, ...]
@@ -179,7 +180,7 @@
 
 
 class ItemsReceived(Message, frozen=True, tag=21):
-    """Sidecar to controller: acknowledges `Items`."""
+    """Sidecar to controller: acknowledges an `Items` message."""
 
     number: int
 
@@ -187,52 +188,52 @@
 class InContact(Message, frozen=True, tag=70):
     """Controller to sidecar: whether it is in contact with a majority of the voters."""
 
-    yes: bool
+    in_contact: bool
 
 
-# --- agreement on changes of the configuration (`mesh.control.consensus`)
+# --- consensus on configuration changes (`mesh.control.consensus`)
 
 
 class Prepare(Message, frozen=True, tag=30):
-    """Proposer to the voters."""
+    """Proposer to the voters: phase 1 of a proposal."""
 
     round: int
     epoch: int
     ballot: Ballot
-    buckets: bytes  # digests of the proposer's copy
+    buckets: bytes  # bucket digests of the proposer's copy
 
 
 class PrepareAnswer(Answer, frozen=True, tag=31):
-    """Answer to `Prepare`."""
+    """Response to `Prepare`."""
 
     yes: bool
     epoch: int
-    promised: int  # number of the highest ballot that has a promise
+    promised: int  # number of the highest promised ballot
     sequence: int = 0
     draft: Draft | None = None
-    items: tuple[Item, ...] = ()  # that the proposer may lack
+    items: tuple[Item, ...] = ()  # items that the proposer may lack
 
 
 class Accept(Message, frozen=True, tag=32):
-    """Proposer to the voters, after a majority has promised."""
+    """Proposer to the voters: phase 2, after a majority has promised."""
 
     round: int
     epoch: int
     ballot: Ballot
     sequence: int
     items: tuple[Item, ...]
-    base: tuple[Item, ...] = ()  # all items that were chosen before, for a voter that is behind
+    base: tuple[Item, ...] = ()  # all items chosen before, for voters that are behind
 
 
 class AcceptAnswer(Answer, frozen=True, tag=33):
-    """Answer to `Accept`."""
+    """Response to `Accept`."""
 
-    yes: bool  # it lies on the disk
+    yes: bool  # whether the proposal is accepted and stored on disk
     epoch: int
 
 
 class Commit(Message, frozen=True, tag=36):
-    """Proposer to all controllers: a change was chosen."""
+    """Proposer to all controllers: a change has been chosen."""
 
     ballot: Ballot
     sequence: int
@@ -246,18 +247,18 @@
 
 
 class Fetch(Message, frozen=True, tag=38):
-    """Controller to controllers: what do you hold, and have accepted and promised?"""
+    """Controller to controllers: requests their items, accepted draft and promised ballot."""
 
     round: int
     epoch: int
-    sealed: bool  # whether voters are asked that are sealed in that epoch
+    sealed: bool  # whether voters sealed in that epoch shall respond
     buckets: bytes
 
 
 class FetchAnswer(Answer, frozen=True, tag=39):
-    """Answer to `Fetch`."""
+    """Response to `Fetch`."""
 
-    yes: bool  # whether it answers as a voter of the epoch, or as a sealed one
+    yes: bool  # whether it responds as a voter of the epoch, or as a sealed one
     epoch: int
     sequence: int
     items: tuple[Item, ...]
@@ -266,11 +267,11 @@
     checksum: int | None = None  # of the items
 
 
-# --- operations by key (`mesh.state.idempotency`)
+# --- idempotency keys (`mesh.state.idempotency`)
 
 
 class FetchGrants(Message, frozen=True, tag=34):
-    """Controller to controllers: which grants do you hold? Part by part, `part` from 0 on."""
+    """Controller to controllers: requests the grants they hold, one part at a time from part 0 on."""
 
     round: int
     epoch: int = 1
@@ -279,18 +280,18 @@
 
 
 class GrantsAnswer(Answer, frozen=True, tag=35):
-    """Answer to `FetchGrants`: one part. All parts are of one moment, that of the first question."""
+    """Response to `FetchGrants`: one part. All parts are a snapshot taken at the first request."""
 
-    yes: bool  # whether it answers as a voter of the epoch, or as a sealed one
+    yes: bool  # whether it responds as a voter of the epoch, or as a sealed one
     rows: tuple[GrantRow, ...]
     epoch: int
-    promised: Ballot  # for the next voters
-    more: bool = False  # whether there is a next part
+    promised: Ballot  # in the election of the next voters
+    more: bool = False  # whether there are further parts
     checksum: int | None = None  # of the rows
 
 
 class ClaimKey(Message, frozen=True, tag=40):
-    """Sidecar to controllers: grant a key to a token."""
+    """Sidecar to controllers: requests the grant of a key to a token."""
 
     claim: int
     key: str
@@ -300,17 +301,17 @@
 
 
 class ClaimAnswer(Message, frozen=True, tag=41):
-    """Answer to `ClaimKey`."""
+    """Response to `ClaimKey`."""
 
     claim: int
-    outcome: int  # -1: can't tell; 0: another token has it; 1: granted, on the disk
+    outcome: int  # -1: unknown; 0: another token holds the key; 1: granted and stored on disk
     token: str
-    mark: int
+    status: int  # of the operation
     answer: Any = None
 
 
 class KeyDone(Message, frozen=True, tag=42):
-    """Sidecar to controllers: the operation of a key has run, with this answer."""
+    """Sidecar to controllers: the operation of a key has run with this answer."""
 
     key: str
     token: str
@@ -318,24 +319,24 @@
 
 
 class KeyBroken(Message, frozen=True, tag=43):
-    """Sidecar to controllers: it may have run, and there is no answer."""
+    """Sidecar to controllers: the operation of a key may have run, but its answer is lost."""
 
     key: str
     token: str
 
 
 class FreeKey(Message, frozen=True, tag=44):
-    """Sidecar to controllers: nothing ran with a token, and nothing will."""
+    """Sidecar to controllers: releases a key; nothing has run or will run with this token."""
 
     key: str
     token: str
 
 
-# --- who votes (`mesh.control.ballot`)
+# --- reconfiguration of the voters (`mesh.control.ballot`)
 
 
 class Bid(Message, frozen=True, tag=60):
-    """Proposer of the next voters to the present ones."""
+    """Proposer of the next voters to the current voters: phase 1."""
 
     round: int
     epoch: int
@@ -343,7 +344,7 @@
 
 
 class BidAnswer(Answer, frozen=True, tag=61):
-    """Answer to `Bid`."""
+    """Response to `Bid`."""
 
     yes: bool
     epoch: int
@@ -352,7 +353,7 @@
 
 
 class Seal(Message, frozen=True, tag=62):
-    """Proposer to the present voters, after a majority is bound."""
+    """Proposer of the next voters to the current voters: phase 2, after a majority has promised."""
 
     round: int
     epoch: int
@@ -361,7 +362,7 @@
 
 
 class SealAnswer(Answer, frozen=True, tag=63):
-    """Answer to `Seal`."""
+    """Response to `Seal`."""
 
     yes: bool
     epoch: int
@@ -369,39 +370,39 @@
 
 
 class AskView(Message, frozen=True, tag=64):
-    """Controller to all others: whom do you see?"""
+    """Controller to all other controllers: requests their view of their peers."""
 
     round: int
     epoch: int
 
 
 class ViewAnswer(Answer, frozen=True, tag=65):
-    """Answer to `AskView`."""
+    """Response to `AskView`."""
 
     epoch: int
     view: PeerView
 
 
 class Successor(Message, frozen=True, tag=66):
-    """Controller to all others: who has its duty from now on."""
+    """Controller to all other controllers: the coordinator from now on."""
 
     epoch: int
     address: str
 
 
 class Heartbeat(Message, frozen=True, tag=68):
-    """Controller to every other, at short intervals."""
+    """Controller to all other controllers, sent periodically."""
 
     number: int
     epoch: int
 
 
 class HeartbeatAnswer(Message, frozen=True, tag=69):
-    """Answer to `Heartbeat`."""
+    """Response to `Heartbeat`."""
 
     number: int
     epoch: int
-    votes: bool  # whether it votes in that epoch
+    votes: bool  # whether it is a voter in that epoch
     digest: int
     sequence: int
 
@@ -410,10 +411,10 @@
 
 
 class Call(msgspec.Struct, frozen=True, array_like=True):
-    """A request for the server beside another sidecar. Times are seconds from when it was sent."""
+    """A request for the local server of another sidecar. Times are seconds counted from sending."""
 
     service: str
-    caller: str  # the service of the machine where it began
+    caller: str  # the service of the sending sidecar's machine
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
@@ -423,125 +424,128 @@
     attempt_id: bytes
     key: str
     route: str
-    is_retry: bool = False  # its client has spent time on it before
+    is_retry: bool = False  # whether its client has already spent time on it
     repeatable: bool = False
-    past_target: bool = False
-    size: int = 0  # of a body that does not come with the call, but in chunks
-    priority: int = 0  # rank of its route; 0 is the most urgent
+    past_target: bool = False  # whether its target latency has passed
+    size: int = 0  # bytes of a body that is sent separately, in chunks
+    priority: int = 0  # of its route; 0 is the highest
 
 
 class Forward(Message, frozen=True, tag=50):
-    """Sidecar to the one beside a server."""
+    """Sidecar to the sidecar of a server: a call to run there."""
 
     number: int
     call: Call
 
 
 class ForwardAnswer(Message, frozen=True, tag=51):
-    """Answer to `Forward`."""
+    """Response to `Forward`."""
 
     number: int
-    error: int  # an `ErrorKind`; 0: the server has answered
-    arrived: bool  # whether a server has seen it
+    error: int  # an `ErrorKind`, or 0 if the server has answered
+    arrived: bool  # whether the call has reached a server
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
-    wait_s: float = 0.0  # that a call waits there now
-    work_s: float = 0.0  # that a call of this route takes there
-    failure_rate: float = 0.0  # part of calls that fail there of late
+    wait_s: float = 0.0  # current queueing time at the server
+    work_s: float = 0.0  # service time of calls of this route
+    failure_rate: float = 0.0  # recent fraction of failed calls
 
     @classmethod
     def failed(cls, number: int, error: ErrorKind, arrived: bool = False) -> ForwardAnswer:
-        """The end of a call that no server has answered. `arrived`: whether one has seen it."""
+        """Returns the response to a call that has no answer; `arrived` tells whether it reached a server."""
         return cls(number, int(error), arrived, 0, [], b"")
 
 
 class Overdue(Message, frozen=True, tag=53):
-    """The server has worked on a call for unusually long."""
+    """Response to `Forward`: the server takes unusually long for a call, which is still running."""
 
     number: int
 
 
 class Cancel(Message, frozen=True, tag=59):
-    """The client of a call has left."""
+    """Sidecar to the sidecar of a server: the client of a call has disconnected."""
 
     number: int
 
 
 class SendBody(Message, frozen=True, tag=54):
-    """Answer to `Forward`: so much of its body may be sent, from its beginning."""
+    """Response to `Forward`: permits sending the body of a call up to an offset."""
 
     number: int
-    end_offset: int
+    end_offset: int  # from the beginning of the body
 
 
 class BodyChunk(Message, frozen=True, tag=55):
-    """The next chunk of a body."""
+    """The next chunk of the body of a call."""
 
     number: int
     data: bytes
 
 
 class BodyDropped(Message, frozen=True, tag=56):
-    """The call is given up, and the rest of its body will not come."""
+    """The call is abandoned; the rest of its body will not be sent."""
 
     number: int
 
 
 class LoadQuery(Message, frozen=True, tag=57):
-    """Sidecar to sidecars: how would a call fare?"""
+    """Sidecar to sidecars: requests the load at their servers."""
 
     number: int
     route: str
-    size: int  # of its body
+    size: int  # bytes of the body of the call
 
 
 class LoadReport(Message, frozen=True, tag=58):
-    """Answer to `LoadQuery`."""
+    """Response to `LoadQuery`."""
 
     number: int
-    is_open: bool  # whether it would be taken
+    is_open: bool  # whether a call would be accepted
     wait_s: float = 0.0
     work_s: float = 0.0
-    transfer_s: float = 0.0  # that its body would be on its way
+    transfer_s: float = 0.0  # time to transfer its body
     failure_rate: float = 0.0
 
 
 class Ping(Message, frozen=True, tag=0):
-    """Are you there?"""
+    """Keepalive request."""
 
 
 class Pong(Message, frozen=True, tag=1):
-    """Answer to `Ping`."""
+    """Response to `Ping`."""
 
 
 def kind_of(message: type[Message]) -> int:
-    """The kind that stands at the beginning of such a message."""
+    """Returns the tag of a message class."""
     tag = message.__struct_config__.tag
     assert isinstance(tag, int)
     return tag
 
 
 def _kinds() -> dict[int, type[Message]]:
-    found: list[type[Message]] = [*Message.__subclasses__(), *Answer.__subclasses__()]
-    return {kind_of(kind): kind for kind in found if kind is not Answer}
+    classes: list[type[Message]] = [*Message.__subclasses__(), *Answer.__subclasses__()]
+    return {kind_of(message): message for message in classes if message is not Answer}
 
 
 KINDS = _kinds()
-"""All messages by their kind."""
+"""All message classes by tag."""
 
 
 def encode(message: Message) -> list[Any]:
-    """The array that goes over the wire."""
+    """Returns the array that represents a message on the wire."""
     row: list[Any] = msgspec.to_builtins(message, builtin_types=(bytes,))
     return row
 
 
 def decode(row: Any) -> Message | None:
-    """A message of an array; None of a kind that is not known. Raise ValueError where it is none."""
+    """Returns the message that an array represents, or None if its tag is unknown.
+
+    Raises ValueError if the array is not a valid message.
+    """
     if not isinstance(row, list) or not row:
-        raise ValueError("no message")
-    kind = KINDS.get(row[0])
-    if kind is None:
+        raise ValueError("a message must be a non-empty array")
+    message = KINDS.get(row[0])
+    if message is None:
         return None
-    return msgspec.convert(row, kind, builtin_types=(bytes,))
+    return msgspec.convert(row, message, builtin_types=(bytes,))
--- a/tests/mesh/calls_world.py
+++ b/tests/mesh/calls_world.py
@@ -1,8 +1,8 @@
-"""Calls on fake time: sidecars, servers and clients that speak HTTP/1.1 over streams of bytes.
+"""Calls on a simulated clock: sidecars, servers and clients that speak HTTP/1.1 over byte streams.
 
-The world of `mesh_world` with the roles' real HTTP code on both sides: the front that clients meet, and the
-client side towards the server. There are no controllers: each sidecar is told the configuration and the
-others' records when it starts. A point is each arrival of bytes at a process; a fault may strike at any.
+Extends `mesh_world` by the real HTTP code of the sidecar: its server towards clients, and its client towards
+the local server. There are no controllers: each sidecar gets the configuration and the other records when it
+starts. Each arrival of bytes at a process is a point at which a fault may be injected.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from mesh.proxy import sidecar as sidecars
 from mesh.proxy.sidecar import Sidecar
 from mesh.state import configuration
-from mesh.transport.http_server import Caller, HttpServer
+from mesh.transport.http_server import HttpConnection, HttpServer
 from mesh.transport.messages import SidecarRecord
 
 PEER_PORT, OUTBOUND_PORT, SERVER_PORT = 7000, 80, 9000
-WORK_S = 0.02  # that a server takes for a call
+SERVICE_S = 0.02  # service time of a call
 DEADLINE_S = 0.8
-SLACK_S = 0.1  # beyond a deadline, on the way to the client
-BODY = bytes(range(256)) * 64  # 16,384 bytes: more than goes with its call on the link below
+SLACK_S = 0.1  # for an answer to reach the client after its deadline
+BODY = bytes(range(256)) * 64  # 16,384 bytes, more than is sent within a call on the link below
 SETTINGS = """
 node_name = "{name}"
 ip = "{name}"
@@ -71,25 +71,25 @@
 
 
 class Stream(End):
-    """One end of a connection that carries bytes without frames."""
+    """One end of a connection that carries a stream of bytes."""
 
-    quiet = os.eventfd(0)  # what a socket with nothing to read looks like to `poll`
+    never_readable = os.eventfd(0)  # a descriptor on which `poll` finds nothing to read
 
     def get_extra_info(self, name: str) -> Any:
-        return SimpleNamespace(fileno=lambda: self.quiet) if name == "socket" else None
+        return SimpleNamespace(fileno=lambda: self.never_readable) if name == "socket" else None
 
     def write(self, data: bytes) -> None:
         if not self.closed:
             self._ship(bytes(data))
 
     def set_write_buffer_limits(self, high: int | None = None) -> None:
-        """The other side takes everything."""
+        """Ignored: the peer accepts all data."""
 
     def get_write_buffer_size(self) -> int:
         return 0
 
     def pause_reading(self) -> None:
-        """What comes is taken all the same."""
+        """Ignored: data is delivered anyway."""
 
     resume_reading = pause_reading
 
@@ -115,7 +115,7 @@
 
 
 class App:
-    """A server's side of one connection: it runs each whole request, and answers after `WORK_S`."""
+    """The server's side of one connection: it runs each complete request and answers after `SERVICE_S`."""
 
     def __init__(self, world: CallsWorld, process: Process) -> None:
         self._world, self._process = world, process
@@ -128,7 +128,7 @@
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It goes on with what it has begun."""
+        """Running requests continue."""
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed_data(data)
@@ -144,18 +144,18 @@
 
     def on_message_complete(self) -> None:
         attempt = self._headers.get(b"x-attempt-id")
-        if attempt is None:  # its sidecar asks who it is
-            told = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Instance-Id: i-%s\r\n\r\n"
-            self._transport.write(told % self._process.host.encode())
+        if attempt is None:  # a health check of its sidecar
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Instance-Id: i-%s\r\n\r\n"
+            self._transport.write(response % self._process.host.encode())
             return
         self._world.runs[attempt.decode()] += 1
         body = b"%s %d" % (attempt, self._size)
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Server-Seal: s\r\nX-Attempt-Id: %s\r\n\r\n"
-        self._process.loop.call_later(WORK_S, self._transport.write, head % (len(body), attempt) + body)
+        self._process.loop.call_later(SERVICE_S, self._transport.write, head % (len(body), attempt) + body)
 
 
 class Request:
-    """One request of a client, and what became of it. A protocol of its own connection."""
+    """One request of a client and its result; also the protocol of its connection."""
 
     def __init__(self, world: CallsWorld, name: str, variant: str, body: bytes) -> None:
         self._world, self.name, self.variant, self.body = world, name, variant, body
@@ -163,7 +163,7 @@
         self.status = 0
         self.answer = b""
         self.answered_at = 0.0
-        self.ended = False  # its connection, without an answer
+        self.ended = False  # the connection closed without an answer
         self._parser = httptools.HttpResponseParser(self)
 
     def connection_made(self, transport: Any) -> None:
@@ -189,15 +189,15 @@
 
 
 class CallsWorld(World):
-    """A caller's sidecar, two servers with sidecars, and a client."""
+    """A calling sidecar, two servers with sidecars, and a client."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed=seed, size=0, claimants=3)
         self.caller, *self.servers = self.sidecars
         self.runs: Counter[str] = Counter()  # by request
         self.requests: list[Request] = []
-        self.struck: Callable[[str, str], None] = lambda at, by: None
-        self.strike_at = 0
+        self.on_fault: Callable[[str, str], None] = lambda at, by: None
+        self.fault_at = 0
 
     def __enter__(self) -> CallsWorld:
         super().__enter__()
@@ -211,13 +211,13 @@
         return End if port == PEER_PORT else Stream
 
     def blocked(self, one: str, other: str) -> float:
-        """A machine is never cut off from itself."""
+        """A machine is never partitioned from itself."""
         return 0.0 if one == other else super().blocked(one, other)
 
     def point(self, at: Process, by: Process) -> None:
         self.points += 1
-        if self.points == self.strike_at:
-            self.struck(at.host, by.host)
+        if self.points == self.fault_at:
+            self.on_fault(at.host, by.host)
 
     # --- machines
 
@@ -228,7 +228,7 @@
             self.start_sidecar(name)
 
     def start_app(self, name: str) -> None:
-        """The server on a machine; it outlives its sidecar."""
+        """Starts the server of a machine; it survives crashes of its sidecar."""
         process = Process(self, self.machines[name])
         self.machines[name].listening[SERVER_PORT] = (process, lambda: App(self, process))
 
@@ -265,7 +265,7 @@
     # --- clients
 
     async def send(self, name: str, variant: str, body: bytes = b"") -> None:
-        """One request on a connection of its own; a client whose connection is refused has not sent it."""
+        """Sends a request on a new connection; if the connection is refused, the request does not count."""
         request = Request(self, name, variant, body)
         try:
             await self.operator.loop.create_connection(lambda: request, self.caller, OUTBOUND_PORT)
@@ -273,21 +273,21 @@
             return
         self.requests.append(request)
 
-    def verdicts(self) -> list[str]:
-        """What is wrong, now that everything is over. `caller_well`: whether its sidecar was left alone."""
-        return [fault for request in self.requests for fault in self._faults_of(request)]
+    def violations(self) -> list[str]:
+        """Returns all violations after the end of a scenario."""
+        return [violation for request in self.requests for violation in self._violations_of(request)]
 
-    def _faults_of(self, request: Request) -> list[str]:
+    def _violations_of(self, request: Request) -> list[str]:
         runs, status, name = self.runs[request.name], request.status, request.name
         found = []
         if status == 200 and request.answer != b"%s %d" % (name.encode(), len(request.body)):
             found.append(f"{name} got the answer {request.answer!r}")
         if status == 503 and runs:
-            found.append(f"{name} was told that it has not run, and ran {runs} times")
+            found.append(f"{name} was reported as not run but ran {runs} times")
         if runs > (2 if request.variant == "pure" else 1):
             found.append(f"{name}, {request.variant}, ran {runs} times")
         if status == 200 and not runs:
-            found.append(f"{name} was answered, and never ran")
+            found.append(f"{name} was answered but never ran")
         return found
 
 
@@ -295,14 +295,16 @@
     address: settings.Address,
     serve: Callable[..., None],
     hangup: Callable[..., None] | None = None,
-    most: int = 64,
+    max_connections: int = 64,
 ) -> HttpServer:
-    """`mesh.transport.http_server.open_http_server` without a socket."""
+    """Replaces `mesh.transport.http_server.open_http_server`, without a socket."""
     import asyncio
 
     loop = asyncio.get_running_loop()
     server = HttpServer(serve, hangup or (lambda message: None))
-    server.listener = listener = Listener(lambda taken: Caller(taken, loop, server), most, most)
+    server.listener = listener = Listener(
+        lambda taken: HttpConnection(taken, loop, server), max_connections, max_connections
+    )
     listener._loop = loop
-    await loop.create_server(lambda: Caller(listener, loop, server), address.host, address.port)
+    await loop.create_server(lambda: HttpConnection(listener, loop, server), address.host, address.port)
     return server
--- a/tests/mesh/test_mesh_budget.py
+++ b/tests/mesh/test_mesh_budget.py
@@ -1,4 +1,4 @@
-"""What one server is sent at once, what all sidecars together may send again, and which server is picked."""
+"""The concurrency budget of a server, the retry budget of all sidecars, and the choice of an endpoint."""
 
 import pytest
 from hypothesis import given
@@ -16,7 +16,7 @@
 
 
 def trial(made, now=0, served=True, random=lambda: 0.5):
-    """One trial there and back."""
+    """Runs one trial to its end."""
     assert made.check_admission(now, made.limit) == (True, True)
     made.trial_in_flight = True
     assert made.check_admission(now, made.limit) == (False, False)
@@ -35,10 +35,10 @@
     return made
 
 
-# --- one server
+# --- the concurrency budget of one server
 
 
-def test_k_begins_at_one_and_each_served_trial_adds_a_step_up_to_the_clamp():
+def test_steps_start_at_one_and_each_served_trial_adds_one_up_to_the_maximum():
     made = budget(4)
     assert (made.steps, made.limit) == (1, 1)
     for k in (2, 3, 4):
@@ -52,13 +52,13 @@
     assert (Budget(1.0, 9, 5).steps, Budget(1.0, 3, 5).steps, Budget(1.0, 9, 0).steps) == (5, 3, 1)
 
 
-def test_there_is_one_trial_at_a_time_and_calls_within_the_budget_go_beside_it():
+def test_only_one_trial_runs_at_a_time_beside_calls_within_the_budget():
     made = grown(2)
     made.trial_in_flight = True
     assert made.check_admission(0, 2) == (False, False) and made.check_admission(0, 1) == (True, False)
 
 
-def test_backoff_blocks_growth_and_nothing_else():
+def test_backoff_blocks_only_growth():
     made = grown(3)
     trial(made, served=False)
     assert made.steps == 3 and made.retry_at == 100 * MS
@@ -67,7 +67,7 @@
     assert made.check_admission(100 * MS, 3) == (True, True)
 
 
-def test_backoff_doubles_to_its_last_and_is_forgotten_with_a_served_trial():
+def test_backoff_doubles_up_to_its_maximum_and_is_reset_by_a_served_trial():
     made, waits, now = budget(), [], 0
     for _ in range(6):
         trial(made, now, served=False)
@@ -80,7 +80,7 @@
     assert made.backoff == made.retry_at == 0
 
 
-def test_at_zero_one_trial_goes_once_the_backoff_is_over():
+def test_at_zero_steps_one_trial_is_permitted_after_the_backoff():
     made = grown(2)
     made.remove_step()
     assert made.steps == 1 and made.backoff == 0
@@ -94,7 +94,7 @@
     assert made.steps == 1 and made.check_admission(100 * MS, 0) == (True, False)
 
 
-def test_an_answer_that_it_is_full_lowers_the_figure_and_served_calls_raise_it():
+def test_a_refusal_lowers_the_concurrency_and_served_calls_raise_it():
     made = grown(10)
     made.lower_concurrency()
     assert made.limit == 7 and made.steps == 10
@@ -106,7 +106,7 @@
     assert made.concurrency == made.max_concurrency and made.limit == 10
 
 
-def test_a_new_process_begins_anew():
+def test_renew_resets_the_state():
     made = grown(7)
     made.lower_concurrency()
     trial(made, served=False)
@@ -124,7 +124,7 @@
 
 
 @given(st.integers(1, 12), st.lists(st.sampled_from(EVENTS), max_size=80))
-def test_calls_that_are_out_keep_to_the_budget_whatever_happens(most, events):
+def test_calls_in_flight_stay_within_the_budget(most, events):
     made, out, now = budget(most), [], 0
     for event in events:
         now += 50 * MS
@@ -153,7 +153,7 @@
         assert sum(out) == made.trial_in_flight
 
 
-# --- all sidecars
+# --- the retry budget of all sidecars
 
 
 @given(
@@ -162,43 +162,43 @@
     st.sampled_from((0, 1, 8)),
     st.lists(st.tuples(st.integers(0, 40), st.integers(0, 3), st.integers(0, 6)), max_size=120),
 )
-def test_the_sum_over_all_sidecars_keeps_below_the_ratio(sidecars, ratio, slack, events):
+def test_retries_of_all_sidecars_stay_within_the_ratio(sidecars, ratio, slack, events):
     window = 16.0
-    spends = [RetryBudget(ratio, window, slack) for _ in range(sidecars)]
-    now, asked, spent = 0.0, [], []
+    retry_budgets = [RetryBudget(ratio, window, slack) for _ in range(sidecars)]
+    now, asked, retry_times = 0.0, [], []
     for step, who, tries in events:
         now += step / 8
-        spend = spends[who % sidecars]
-        spend.record_request(now)
+        retry_budget = retry_budgets[who % sidecars]
+        retry_budget.record_request(now)
         asked.append(now)
-        spent += [now for _ in range(tries) if spend.try_acquire(now, sidecars)]
+        retry_times += [now for _ in range(tries) if retry_budget.try_acquire(now, sidecars)]
 
     def count(times, end):
         return sum(end - window <= at <= end for at in times)
 
     for end in sorted({*asked, *(at + window for at in asked)}):
         most = max(count(asked, end), count(asked, end - window / 2), count(asked, end - window))
-        assert count(spent, end) <= ratio * most + slack
+        assert count(retry_times, end) <= ratio * most + slack
 
 
-def test_under_steady_load_a_useful_part_is_given():
-    spend = RetryBudget(0.2, 10.0, 0.0)
-    given_ = 0
+def test_under_steady_load_a_useful_share_of_retries_is_permitted():
+    retry_budget = RetryBudget(0.2, 10.0, 0.0)
+    permitted = 0
     for i in range(1000):
-        spend.record_request(i / 10)
-        given_ += spend.try_acquire(i / 10, 5)
-    assert 80 <= given_ <= 200
+        retry_budget.record_request(i / 10)
+        permitted += retry_budget.try_acquire(i / 10, 5)
+    assert 80 <= permitted <= 200
 
 
-def test_with_no_requests_only_the_slack_is_given_and_comes_back_after_the_window():
-    spend = RetryBudget(0.2, 10.0, 8.0)
-    assert [spend.try_acquire(0.0, 2) for _ in range(3)] == [True, True, False]
-    assert not spend.try_acquire(10.0, 2)
-    assert spend.try_acquire(10.1, 2)
+def test_without_requests_only_the_slack_is_permitted_and_it_returns_after_the_window():
+    retry_budget = RetryBudget(0.2, 10.0, 8.0)
+    assert [retry_budget.try_acquire(0.0, 2) for _ in range(3)] == [True, True, False]
+    assert not retry_budget.try_acquire(10.0, 2)
+    assert retry_budget.try_acquire(10.1, 2)
     assert not RetryBudget(0.2, 10.0, 0.0).try_acquire(0.0, 1)
 
 
-# --- the pick
+# --- the choice of an endpoint
 
 
 def endpoints(*inflight):
@@ -210,9 +210,9 @@
     return made
 
 
-def draws(*places, size):
-    """A random source by which these places are drawn in turn, and then whatever is first: each is drawn
-    once, as the last of those that are left takes the room of one that was drawn."""
+def random_source(*places, size):
+    """Returns a random source by which these indexes are drawn in turn, and then the first of the rest. Each
+    index is drawn once, as the last remaining element replaces the drawn one."""
     left = list(range(size))
     numbers = []
     for place in dict.fromkeys(places):
@@ -224,79 +224,79 @@
     return lambda: next(turn, 0.0)
 
 
-def anyone(endpoint):
+def accept_all(endpoint):
     return True
 
 
 def choose(now, made, tried, random, usable, zone="", near=0, kind=""):
-    """Draw, and take the best."""
+    """Draws endpoints and returns the best of them."""
     drawn = draw(now, made, tried, random, usable, zone, near > 0)
     return best(now, drawn, zone, kind, OwnZonePreference(near, near / 6)) if drawn else None
 
 
-def test_the_less_loaded_of_two_is_taken_and_no_third_is_looked_at():
+def test_the_less_loaded_of_the_two_drawn_endpoints_is_chosen():
     made = endpoints(5, 2, 0)
-    assert choose(0.0, made, (), draws(0, 1, size=3), anyone) is made[1]
-    assert choose(0.0, made, (), draws(1, 0, size=3), anyone) is made[1]
-    assert choose(0.0, made, (), draws(0, 2, size=3), anyone) is made[2]
+    assert choose(0.0, made, (), random_source(0, 1, size=3), accept_all) is made[1]
+    assert choose(0.0, made, (), random_source(1, 0, size=3), accept_all) is made[1]
+    assert choose(0.0, made, (), random_source(0, 2, size=3), accept_all) is made[2]
 
 
-def test_a_tie_goes_by_latency():
+def test_a_tie_is_decided_by_latency():
     made = endpoints(1, 1)
     made[0].answered(0.2)
     made[1].answered(0.1)
-    assert choose(0.0, made, (), draws(0, 1, size=2), anyone) is made[1]
+    assert choose(0.0, made, (), random_source(0, 1, size=2), accept_all) is made[1]
     made[1].answered(5.0)
     assert made[1].latency == pytest.approx(0.1 + 4.9 * 0.2)
-    assert choose(0.0, made, (), draws(0, 1, size=2), anyone) is made[0]
+    assert choose(0.0, made, (), random_source(0, 1, size=2), accept_all) is made[0]
 
 
-def test_a_tie_goes_by_what_the_sidecar_beside_the_server_told_not_by_zone():
+def test_a_tie_is_decided_by_the_reported_load_rather_than_by_zone():
     near, far = Endpoint("near", "s"), Endpoint("far", "s")
     near.zone, far.zone = "east", "west"
 
     def taken(now):
-        return choose(now, [near, far], (), draws(0, 1, size=2), anyone, "east", 0, "search").node
+        return choose(now, [near, far], (), random_source(0, 1, size=2), accept_all, "east", 0, "search").node
 
-    assert taken(0.0) == "near", "nothing is known: the shorter way"
+    assert taken(0.0) == "near", "no load is known: the nearer one"
     near.reported(0.0, "search", 0.0, 0.30)
     far.reported(0.0, "search", 0.0, 0.15)
-    assert taken(0.0) == "far", "a slow server is no better for being near"
+    assert taken(0.0) == "far", "a slow server is not preferred for being near"
     far.reported(0.0, "search", 0.0, 0.29)
-    assert taken(0.0) == "near", "a hair's breadth is not worth the way"
+    assert taken(0.0) == "near", "a negligible difference does not outweigh the distance"
     far.reported(0.0, "search", 0.2, 0.15)
-    assert taken(0.0) == "near", "its queue counts, too"
-    assert taken(0.2) == "far", "as long as it lasts"
+    assert taken(0.0) == "near", "the queueing time counts as well"
+    assert taken(0.2) == "far", "until the queue has drained"
     near.answered(0.9)
     near.reported(0.2, "search", 0.0, 0.10)
-    assert taken(0.2) == "near", "own answers of other kinds say nothing of this one"
+    assert taken(0.2) == "near", "latencies of other kinds of calls are not considered"
     near.renew()
     assert near.expects(0.2, "search") == 0.0
 
 
-def test_paces_are_kept_for_so_many_kinds_only():
+def test_service_times_are_kept_for_a_bounded_number_of_kinds():
     endpoint = Endpoint("b", "s")
     for number in range(10 * MOST_KINDS):
         endpoint.reported(0.0, f"kind {number}", 0.0, 0.1)
     assert len(endpoint.work_s) == MOST_KINDS
 
 
-def test_a_closed_endpoint_is_passed_over_until_its_time():
+def test_a_closed_endpoint_is_skipped_until_its_time():
     made = endpoints(0, 5, 9)
     made[0].closed_until = 1.0
-    assert choose(0.5, made, (), draws(0, 1, 2, size=3), anyone) is made[1]
-    assert choose(1.0, made, (), draws(0, 1, 2, size=3), anyone) is made[0]
+    assert choose(0.5, made, (), random_source(0, 1, 2, size=3), accept_all) is made[1]
+    assert choose(1.0, made, (), random_source(0, 1, 2, size=3), accept_all) is made[0]
 
 
-def test_where_all_are_closed_one_is_taken_all_the_same():
+def test_if_all_endpoints_are_closed_one_is_chosen_anyway():
     made = endpoints(3, 1)
     for endpoint in made:
         endpoint.closed_until = 9.0
-    assert choose(0.0, made, (), draws(0, 1, size=2), anyone) in made
+    assert choose(0.0, made, (), random_source(0, 1, size=2), accept_all) in made
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans(), st.booleans()), max_size=6), st.randoms())
-def test_tried_and_unusable_ones_are_never_taken_and_any_other_is_found(rows, random):
+def test_tried_and_unusable_endpoints_are_never_chosen_and_any_other_is_found(rows, random):
     made = endpoints(*(row[0] for row in rows))
     tried = [endpoint for endpoint, row in zip(made, rows, strict=True) if row[1]]
     good = [endpoint for endpoint, row in zip(made, rows, strict=True) if row[2]]
@@ -305,40 +305,42 @@
     assert took in left if left else took is None
 
 
-def test_the_only_one_left_is_found_though_no_draw_hits_it():
+def test_the_only_remaining_endpoint_is_found_even_if_no_draw_hits_it():
     made = endpoints(0, 0, 4)
-    assert choose(0.0, made, made[:2], draws(0, 1, size=3), anyone) is made[2]
-    assert choose(0.0, (), (), draws(0, size=1), anyone) is None
+    assert choose(0.0, made, made[:2], random_source(0, 1, size=3), accept_all) is made[2]
+    assert choose(0.0, (), (), random_source(0, size=1), accept_all) is None
 
 
-def test_with_near_the_own_zone_is_taken_while_it_holds_little_more_than_the_other():
+def test_the_own_zone_is_preferred_while_it_has_few_more_calls_than_the_other():
     far, own, other = (Endpoint(name, "s") for name in ("far", "own", "far"))
     far.zone, own.zone, other.zone = "west", "east", "west"
 
     def taken(near):
-        """The two that are drawn of all are the far ones."""
-        return choose(0.0, [far, own, other], (), draws(0, 2, 1, size=3), anyone, "east", near).node
+        """Both endpoints drawn of all are in another zone."""
+        return choose(
+            0.0, [far, own, other], (), random_source(0, 2, 1, size=3), accept_all, "east", near
+        ).node
 
     own.inflight = 2
     assert taken(0) == "far" and taken(1) == "far" and taken(2) == "own"
     own.closed_until = 1.0
     assert taken(2) == "far"
     own.closed_until, own.inflight = 0.0, 0
-    assert taken(0) == "far" and taken(2) == "own", "the draws met the far one only"
+    assert taken(0) == "far" and taken(2) == "own", "only endpoints of the other zone were drawn"
 
 
-def test_what_was_told_just_now_goes_before_own_calls():
+def test_a_fresh_load_report_takes_precedence_over_own_calls():
     made = endpoints(0, 3)
     made[0].reported(1.0, "search", 0.4, 0.1)
     made[1].reported(1.0, "search", 0.0, 0.2)
     assert fresh(1.0, made) and best(1.0, made, "", "search") is made[1]
     later = 1.0 + FRESH_S + 0.001
-    assert not fresh(later, made) and best(later, made, "", "search") is made[0], "others took it"
+    assert not fresh(later, made) and best(later, made, "", "search") is made[0], "the report is outdated"
     made[1].reported(later, "search", 0.9, 0.2)
-    assert best(later, made, "", "search") is made[1], "whoever said nothing is no better known"
+    assert best(later, made, "", "search") is made[1], "an endpoint without a report is not preferred"
 
 
-def test_the_way_of_a_large_body_counts():
+def test_the_transfer_time_of_a_large_body_counts():
     made = endpoints(0, 0)
     for endpoint in made:
         endpoint.zone = "east"
--- a/tests/mesh/test_mesh_calls.py
+++ b/tests/mesh/test_mesh_calls.py
@@ -1,4 +1,5 @@
-"""Calls without a key while a sidecar or server dies, stands still or is cut off, at each point of a play."""
+"""Calls without an idempotency key while a sidecar or server crashes, freezes or is partitioned, at each
+point of a scenario."""
 
 from __future__ import annotations
 
@@ -13,13 +14,13 @@
 from mesh.proxy.forwarder import Forwarder
 from mesh.transport.messages import ForwardAnswer
 
-FROZEN_S, CUT_S, BACK_S = 0.4, 1.5, 0.3
-SETTLED_S = 0.3  # until all connections between sidecars stand
+FROZEN_S, CUT_S, RESTART_DELAY_S = 0.4, 1.5, 0.3
+SETTLED_S = 0.3  # until all connections between sidecars are established
 SEEDS = range(3)
 CALLS = (("pure", b""), ("effectful", b"x" * 100), ("effectful", BODY), ("pure", BODY), ("effectful", b""))
 
-Strike = Callable[[CallsWorld, str, str], str]
-"""Strikes where bytes of one host arrive at another; tells the machine that it has struck."""
+Fault = Callable[[CallsWorld, str, str], str]
+"""Injects a fault when bytes of one host arrive at another; returns the host that it affects."""
 
 
 def _server_of(world: CallsWorld, at: str, by: str) -> str:
@@ -28,14 +29,14 @@
 
 def kill_caller(world: CallsWorld, at: str, by: str) -> str:
     world.kill(world.caller)
-    world.after(BACK_S, lambda: world.start_sidecar(world.caller))
+    world.after(RESTART_DELAY_S, lambda: world.start_sidecar(world.caller))
     return world.caller
 
 
 def kill_sidecar(world: CallsWorld, at: str, by: str) -> str:
     name = _server_of(world, at, by)
     world.kill(name)
-    world.after(BACK_S, lambda: world.start_sidecar(name))
+    world.after(RESTART_DELAY_S, lambda: world.start_sidecar(name))
     return name
 
 
@@ -48,12 +49,12 @@
 
 
 def kill_server(world: CallsWorld, at: str, by: str) -> str:
-    """The server alone; another process of it comes back, which its sidecar knows by the same id."""
+    """Kills the server alone; it restarts with the same instance id."""
     name = _server_of(world, at, by)
     sidecar = world.machines[name].process
     for process in [one for one in world.processes if one.host == name and one is not sidecar]:
         process.end(quietly=False)
-    world.after(BACK_S, lambda: world.start_app(name))
+    world.after(RESTART_DELAY_S, lambda: world.start_app(name))
     return name
 
 
@@ -74,7 +75,7 @@
     return name
 
 
-STRIKES: tuple[Strike, ...] = (
+FAULTS: tuple[Fault, ...] = (
     kill_caller,
     kill_sidecar,
     power_off,
@@ -85,49 +86,49 @@
 )
 
 
-def play(seed: int, strike: Strike | None = None, at: int = 0) -> int:
-    """One play; the number of its points. Raises `Broken` where a rule is broken."""
+def run_scenario(seed: int, fault: Fault | None = None, at: int = 0) -> int:
+    """Runs a scenario and returns its number of points. Raises `Broken` if a rule is violated."""
     with CallsWorld(seed) as world:
-        struck: list[str] = []
+        faulted_hosts: list[str] = []
 
-        def begin() -> None:
-            world.points, world.strike_at = 0, at
+        def arm() -> None:
+            world.points, world.fault_at = 0, at
 
-        def hit(at_host: str, by_host: str) -> None:
-            assert strike is not None
-            struck.append(strike(world, at_host, by_host))
+        def inject(at_host: str, by_host: str) -> None:
+            assert fault is not None
+            faulted_hosts.append(fault(world, at_host, by_host))
 
-        async def story() -> None:
+        async def scenario() -> None:
             await asyncio.sleep(SETTLED_S)
-            begin()
+            arm()
             for number, (variant, body) in enumerate(CALLS):
                 await world.send(f"{variant}-{number}", variant, body)
                 await asyncio.sleep(0.01)
             await asyncio.sleep(CUT_S + DEADLINE_S)
 
-        world.struck = hit
+        world.on_fault = inject
         world.start()
-        task = world.operator.run(story())
+        task = world.operator.run(scenario())
         if not world.run(30.0, task.done):
-            raise Broken("it never ends")
+            raise Broken("the scenario does not end")
         task.result()
-        _look(world, struck)
+        _check_rules(world, faulted_hosts)
         return world.points
 
 
-def _look(world: CallsWorld, struck: list[str]) -> None:
-    """All rules, now that everything is over."""
-    for fault in world.verdicts():
-        raise Broken(fault)
-    caller_well = world.caller not in struck
-    limit_s = DEADLINE_S + SLACK_S + (0.0 if caller_well else FROZEN_S)
+def _check_rules(world: CallsWorld, faulted_hosts: list[str]) -> None:
+    """Checks all rules after the end of a scenario."""
+    for violation in world.violations():
+        raise Broken(violation)
+    caller_unharmed = world.caller not in faulted_hosts
+    limit_s = DEADLINE_S + SLACK_S + (0.0 if caller_unharmed else FROZEN_S)
     for request in world.requests:
-        if request.ended and caller_well:
-            raise Broken(f"{request.name} got no answer from a sidecar that was left alone")
+        if request.ended and caller_unharmed:
+            raise Broken(f"{request.name} got no answer from a sidecar without a fault")
         if request.status and request.answered_at - request.sent_at > limit_s:
             raise Broken(f"{request.name} was answered after {request.answered_at - request.sent_at:.2f} s")
         if not request.status and not request.ended:
-            raise Broken(f"{request.name} waits for good")
+            raise Broken(f"{request.name} waits forever")
     for name in world.sidecars:
         role = world.controller(name)
         if role is not None and (role.context.open_requests or role.context.open_calls):
@@ -136,29 +137,29 @@
 
 def test_without_a_fault_each_call_runs_once_and_is_answered() -> None:
     for seed in SEEDS:
-        assert play(seed) > 30
+        assert run_scenario(seed) > 30
 
 
-@pytest.mark.parametrize("strike", STRIKES)
-def test_whatever_strikes_at_whichever_point(strike: Strike) -> None:
+@pytest.mark.parametrize("fault", FAULTS)
+def test_rules_hold_with_any_fault_at_any_point(fault: Fault) -> None:
     for seed in SEEDS:
-        for at in range(1, play(seed) + 1):
-            play(seed, strike, at)
+        for at in range(1, run_scenario(seed) + 1):
+            run_scenario(seed, fault, at)
 
 
-def broken_by(strikes: tuple[Strike, ...]) -> bool:
-    """Whether some play breaks a rule."""
-    for strike in strikes:
-        for at in range(1, play(0) + 1):
+def is_broken_by(faults: tuple[Fault, ...]) -> bool:
+    """Returns whether a rule is violated in some scenario."""
+    for fault in faults:
+        for at in range(1, run_scenario(0) + 1):
             try:
-                play(0, strike, at)
+                run_scenario(0, fault, at)
             except Broken:
                 return True
     return False
 
 
-def always_a_promise(patch: pytest.MonkeyPatch) -> None:
-    """A lost connection says that nothing ran."""
+def report_lost_calls_as_not_run(patch: pytest.MonkeyPatch) -> None:
+    """Calls on a lost connection are reported as not run."""
 
     def link_lost(forwarder: Forwarder, node: str) -> None:
         for number, offer in list(forwarder.offers.items()):
@@ -168,8 +169,8 @@
     patch.setattr(Forwarder, "_link_lost", link_lost)
 
 
-def everything_repeats(patch: pytest.MonkeyPatch) -> None:
-    """What may have run goes to another server, whatever it is."""
+def retry_any_call(patch: pytest.MonkeyPatch) -> None:
+    """Any call that may have run is sent to another server."""
     plain = Forwarder._goes_on
 
     def goes_on(now: float, request: object, error: ErrorKind) -> bool:
@@ -178,15 +179,15 @@
     patch.setattr(Forwarder, "_goes_on", staticmethod(goes_on))
 
 
-def offers_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    """Nobody hears that a connection has ended."""
+def ignore_lost_connections(patch: pytest.MonkeyPatch) -> None:
+    """Lost connections are not noticed."""
     patch.setattr(Forwarder, "_link_lost", lambda forwarder, node: None)
     patch.setattr(Forwarder, "time_is_up", lambda forwarder, request: None)
 
 
-@pytest.mark.parametrize("defence", [always_a_promise, everything_repeats, offers_are_forgotten])
-def test_found_without(
-    defence: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("mutation", [report_lost_calls_as_not_run, retry_any_call, ignore_lost_connections])
+def test_mutations_are_detected(
+    mutation: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    defence(monkeypatch)
-    assert broken_by((kill_sidecar, power_off))
+    mutation(monkeypatch)
+    assert is_broken_by((kill_sidecar, power_off))
--- a/tests/mesh/test_mesh_server_queue.py
+++ b/tests/mesh/test_mesh_server_queue.py
@@ -1,4 +1,4 @@
-"""A pool beside a server: who goes first, who is given back at once, and what outcomes teach. No sockets."""
+"""The queue of a server: order, rejection, and learning from outcomes. No sockets."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 SEAL = (b"x-server-seal", b"s")
 
 
-class Clock(asyncio.SelectorEventLoop):
-    """A loop whose time a test sets; timers are looked at by hand."""
+class FakeLoop(asyncio.SelectorEventLoop):
+    """An event loop whose time is set by the test; timers are recorded and called by hand."""
 
     def __init__(self):
         super().__init__()
@@ -29,133 +29,133 @@
         return asyncio.TimerHandle(self.now + delay, callback, args, self)
 
 
-class Wire:
-    """Stands in for the connections: what was sent, and its end by the test's word."""
+class FakeUpstream:
+    """Replaces the connections: records exchanges, which the test ends."""
 
     def __init__(self):
         self.sent = []
 
-    def update(self, *told):
-        """A server is there."""
+    def update(self, *results):
+        """Adds a server; ignored."""
 
     def remove(self, name):
-        """It is gone."""
+        """Removes a server; ignored."""
 
     def keep(self, idle_s):
-        """How long idle connections are kept."""
+        """Sets the idle timeout; ignored."""
 
-    def exchange(self, name, make, limit_s, ended):
-        return Sent(self, ended, limit_s)
+    def exchange(self, name, make, timeout_s, ended):
+        return FakeExchange(self, ended, timeout_s)
 
 
-class Sent:
-    def __init__(self, wire, ended, limit_s):
-        self.wire, self.ended, self.limit_s = wire, ended, limit_s
+class FakeExchange:
+    def __init__(self, upstream, ended, timeout_s):
+        self.upstream, self.ended, self.timeout_s = upstream, ended, timeout_s
         self.touched, self.expect = False, None
 
     def start(self):
         self.touched = True
-        self.wire.sent.append(self)
+        self.upstream.sent.append(self)
 
     def cancel(self):
         self.end(AttemptOutcome.CANCELLED, self.touched)
 
     def reply(self, status=200, headers=(SEAL,)):
-        self.wire.sent.remove(self)
+        self.upstream.sent.remove(self)
         self.ended(AttemptOutcome.OK, Reply(status, list(headers), b"body"))
 
-    def end(self, how, touched=True):
+    def end(self, outcome, touched=True):
         self.touched = touched
-        self.wire.sent.remove(self)
-        self.ended(how, None)
+        self.upstream.sent.remove(self)
+        self.ended(outcome, None)
 
 
 @pytest.fixture
 def server_queue():
-    loop = Clock()
-    made = ServerQueue(loop, Address("127.0.0.1", 9), 64)
-    made.upstream = Wire()
-    made.update_server("i-1", 4, 0.0, True)
-    made.budget.steps = 1
-    made.budget.max_steps = 1
-    yield made
+    loop = FakeLoop()
+    created = ServerQueue(loop, Address("127.0.0.1", 9), 64)
+    created.upstream = FakeUpstream()
+    created.update_server("i-1", 4, 0.0, True)
+    created.budget.steps = 1
+    created.budget.max_steps = 1
+    yield created
     loop.close()
 
 
-def job(server_queue, name, due, last=None, deadline=10.0, told=None):
+def job(server_queue, name, due, latest_start=None, deadline=10.0, results=None):
     now = server_queue._loop.now
-    found = told if told is not None else []
+    recorded = results if results is not None else []
     return Job(
         lambda left, instance: b"",
         name.encode(),
         now + deadline,
         now + due,
-        now + (last or due),
-        lambda fault, arrived, reply: found.append((name, fault, arrived)),
+        now + (latest_start or due),
+        lambda error, arrived, reply: recorded.append((name, error, arrived)),
         name,
     )
 
 
-def names(server_queue):
+def sent_names(server_queue):
     return [sent.expect[1].decode() for sent in server_queue.upstream.sent]
 
 
-def test_who_is_due_first_goes_first_and_equals_go_in_order(server_queue):
+def test_calls_are_sent_by_due_time_and_then_in_order_of_arrival(server_queue):
     server_queue.mean_service_s = 0.001
     for name, due in (("running", 1), ("slow", 5), ("call", 0.5), ("second", 5), ("third", 5)):
         server_queue.submit(job(server_queue, name, due))
-    seen = names(server_queue)
+    seen = sent_names(server_queue)
     while server_queue.upstream.sent:
         server_queue.upstream.sent[0].reply()
-        seen += names(server_queue)
+        seen += sent_names(server_queue)
     assert seen == ["running", "call", "slow", "second", "third"]
 
 
-def test_what_cannot_be_in_time_steps_back_behind_all_that_can(server_queue):
+def test_calls_past_their_due_time_are_sent_after_all_others(server_queue):
     server_queue.mean_service_s = 0.001
     server_queue.submit(job(server_queue, "running", 1))
-    server_queue.submit(job(server_queue, "late", 0.1, last=5))
+    server_queue.submit(job(server_queue, "late", 0.1, latest_start=5))
     server_queue._loop.now += 0.2
     server_queue.submit(job(server_queue, "fresh", 1))
     server_queue.upstream.sent[0].reply()
-    assert names(server_queue) == ["fresh"]
+    assert sent_names(server_queue) == ["fresh"]
     server_queue.upstream.sent[0].reply()
-    assert names(server_queue) == ["late"]
+    assert sent_names(server_queue) == ["late"]
 
 
-def test_what_waits_past_its_last_start_is_given_back_unsent(server_queue):
-    told = []
+def test_a_call_past_its_latest_start_is_rejected_unsent(server_queue):
+    results = []
     server_queue.mean_service_s = 0.001
     server_queue.submit(job(server_queue, "running", 1))
-    server_queue.submit(job(server_queue, "late", 0.1, last=0.3, told=told))
+    server_queue.submit(job(server_queue, "late", 0.1, latest_start=0.3, results=results))
     server_queue._loop.now += 0.31
-    server_queue._look()
-    assert told == [("late", ErrorKind.FULL, False)] and names(server_queue) == ["running"]
+    server_queue._on_timer()
+    assert results == [("late", ErrorKind.FULL, False)] and sent_names(server_queue) == ["running"]
 
 
-def test_who_would_wait_too_long_is_given_back_at_once(server_queue):
-    told = []
+def test_a_call_that_would_wait_too_long_is_rejected_at_once(server_queue):
+    results = []
     server_queue.submit(job(server_queue, "running", 1))
     server_queue.mean_service_s = 1.0
-    server_queue.submit(job(server_queue, "hopeless", 0.2, told=told))
-    assert told == [("hopeless", ErrorKind.FULL, False)]
+    server_queue.submit(job(server_queue, "hopeless", 0.2, results=results))
+    assert results == [("hopeless", ErrorKind.FULL, False)]
 
 
-def test_from_the_word_that_it_drains_on_nothing_goes_and_what_waits_is_given_back(server_queue):
-    told = []
+def test_a_draining_server_gets_no_calls_and_waiting_ones_are_rejected(server_queue):
+    results = []
     server_queue.mean_service_s = 0.001
-    server_queue.submit(job(server_queue, "running", 1, told=told))
-    server_queue.submit(job(server_queue, "waiting", 1, told=told))
+    server_queue.submit(job(server_queue, "running", 1, results=results))
+    server_queue.submit(job(server_queue, "waiting", 1, results=results))
     server_queue.update_server("i-1", 4, 0.0, False)
-    assert told == [("waiting", ErrorKind.LEAVING, False)]
-    server_queue.submit(job(server_queue, "later", 1, told=told))
-    assert told[-1] == ("later", ErrorKind.LEAVING, False) and names(server_queue) == ["running"]
+    assert results == [("waiting", ErrorKind.LEAVING, False)]
+    server_queue.submit(job(server_queue, "later", 1, results=results))
+    assert results[-1] == ("later", ErrorKind.LEAVING, False) and sent_names(server_queue) == ["running"]
     server_queue.upstream.sent[0].reply()
-    assert told[-1] == ("running", None, True)
+    assert results[-1] == ("running", None, True)
 
 
 @pytest.mark.parametrize(
-    ("how", "touched", "fault", "arrived"),
+    ("outcome", "touched", "error", "arrived"),
     [
         (AttemptOutcome.RESET, True, ErrorKind.BROKEN, True),
         (AttemptOutcome.TIMEOUT, True, ErrorKind.LATE, True),
@@ -165,48 +165,50 @@
         (AttemptOutcome.CONNECT_FAILED, True, ErrorKind.BROKEN, True),
     ],
 )
-def test_only_what_was_never_written_is_promised_not_to_have_run(server_queue, how, touched, fault, arrived):
-    told = []
-    server_queue.submit(job(server_queue, "a", 1, told=told))
-    server_queue.upstream.sent[0].end(how, touched)
-    assert told == [("a", fault, arrived)]
+def test_only_a_call_that_was_never_written_is_reported_as_not_run(
+    server_queue, outcome, touched, error, arrived
+):
+    results = []
+    server_queue.submit(job(server_queue, "a", 1, results=results))
+    server_queue.upstream.sent[0].end(outcome, touched)
+    assert results == [("a", error, arrived)]
 
 
-def test_a_server_that_says_it_did_not_run_it_is_believed_and_its_figure_falls(server_queue):
-    told = []
+def test_a_response_with_x_not_run_counts_as_not_run_and_lowers_the_concurrency(server_queue):
+    results = []
     server_queue.budget.max_steps = 4
-    server_queue.submit(job(server_queue, "a", 1, told=told))
+    server_queue.submit(job(server_queue, "a", 1, results=results))
     figure = server_queue.budget.concurrency
     server_queue.upstream.sent[0].reply(503, [(b"x-not-run", b"1")])
-    assert told == [("a", ErrorKind.FULL, True)] and server_queue.budget.concurrency < figure
+    assert results == [("a", ErrorKind.FULL, True)] and server_queue.budget.concurrency < figure
 
 
-def test_another_server_at_the_address_ends_that_life_and_says_who_it_is(server_queue):
-    told, found = [], []
-    server_queue.replaced = found.append
-    server_queue.submit(job(server_queue, "a", 1, told=told))
+def test_a_misdirected_response_ends_the_instance_and_reports_the_new_one(server_queue):
+    results, recorded = [], []
+    server_queue.on_replaced = recorded.append
+    server_queue.submit(job(server_queue, "a", 1, results=results))
     server_queue.upstream.sent[0].reply(421, [(b"x-instance-id", b"i-2")])
-    assert told == [("a", ErrorKind.LEAVING, True)] and found == ["i-2"]
+    assert results == [("a", ErrorKind.LEAVING, True)] and recorded == ["i-2"]
     assert server_queue.instance == "" and "i-1" in server_queue.ended_instances
 
 
-def test_resets_lower_k_to_zero_and_one_trial_brings_it_back(server_queue):
-    told = []
-    server_queue.submit(job(server_queue, "a", 1, told=told))
+def test_resets_lower_the_steps_to_zero_and_one_trial_restores_them(server_queue):
+    results = []
+    server_queue.submit(job(server_queue, "a", 1, results=results))
     server_queue.upstream.sent[0].end(AttemptOutcome.RESET)
     assert server_queue.budget.steps == 0
-    server_queue.submit(job(server_queue, "b", 1, told=told))
-    assert told[-1] == ("b", ErrorKind.FULL, False)
+    server_queue.submit(job(server_queue, "b", 1, results=results))
+    assert results[-1] == ("b", ErrorKind.FULL, False)
     server_queue._loop.now += 1.0
-    server_queue.submit(job(server_queue, "c", 1, told=told))
-    assert names(server_queue) == ["c"] and server_queue.budget.trial_in_flight
-    server_queue.submit(job(server_queue, "d", 1, told=told))
-    assert told[-1] == ("d", ErrorKind.FULL, False)
+    server_queue.submit(job(server_queue, "c", 1, results=results))
+    assert sent_names(server_queue) == ["c"] and server_queue.budget.trial_in_flight
+    server_queue.submit(job(server_queue, "d", 1, results=results))
+    assert results[-1] == ("d", ErrorKind.FULL, False)
     server_queue.upstream.sent[0].reply()
     assert server_queue.budget.steps == 1 and not server_queue.budget.trial_in_flight
 
 
-def test_a_warm_server_begins_at_half_of_its_slots_and_a_cold_one_at_one(server_queue):
+def test_a_warm_server_starts_at_half_of_its_slots_and_a_cold_one_at_one(server_queue):
     server_queue.update_server("i-2", 8, 0.0, True)
     assert (
         server_queue.budget.steps == 4
@@ -217,124 +219,125 @@
     assert server_queue.budget.steps == 1
 
 
-def answered(server_queue, kind, took, times=3):
-    """A few calls of a kind, alone."""
+def run_calls(server_queue, kind, service_s, times=3):
+    """Runs calls of a kind one after the other."""
     for _ in range(times):
         server_queue.submit(job(server_queue, kind, 5))
-        server_queue._loop.now += took
+        server_queue._loop.now += service_s
         server_queue.upstream.sent[0].reply()
 
 
-def test_light_calls_go_first_and_stay_until_just_before_their_deadline(server_queue):
-    answered(server_queue, "heavy", 0.2)
-    answered(server_queue, "call", 0.01)
-    told = []
+def test_light_calls_are_sent_first_and_wait_until_just_before_their_deadline(server_queue):
+    run_calls(server_queue, "heavy", 0.2)
+    run_calls(server_queue, "call", 0.01)
+    results = []
     server_queue.submit(job(server_queue, "running", 5))
-    server_queue.submit(job(server_queue, "heavy", 1, told=told))
-    server_queue.submit(job(server_queue, "call", 0.01, deadline=0.5, told=told))
+    server_queue.submit(job(server_queue, "heavy", 1, results=results))
+    server_queue.submit(job(server_queue, "call", 0.01, deadline=0.5, results=results))
     server_queue._loop.now += 0.4
-    server_queue._look()
-    assert not told, "late by its due time, and kept all the same"
+    server_queue._on_timer()
+    assert not results, "past its due time, but kept"
     server_queue.upstream.sent[0].reply()
-    assert names(server_queue) == ["call"]
+    assert sent_names(server_queue) == ["call"]
 
 
-def test_a_call_that_takes_unusually_long_is_told_once_and_only_where_asked_for(server_queue):
-    answered(server_queue, "kind", 0.1)
-    told = []
+def test_a_call_that_takes_unusually_long_is_reported_once_and_only_on_request(server_queue):
+    run_calls(server_queue, "kind", 0.1)
+    results = []
     one = job(server_queue, "kind", 5)
-    one.on_overdue = lambda: told.append("overdue")
+    one.on_overdue = lambda: results.append("overdue")
     server_queue.submit(one)
     at, callback, args = server_queue._loop.timers[-1]
-    assert at - server_queue._loop.now == pytest.approx(0.4) and not told
+    assert at - server_queue._loop.now == pytest.approx(0.4) and not results
     callback(*args)
-    assert told == ["overdue"]
+    assert results == ["overdue"]
     server_queue.upstream.sent[0].reply()
     before = len(server_queue._loop.timers)
     server_queue.submit(job(server_queue, "kind", 5))
     assert len(server_queue._loop.timers) == before
 
 
-def _calls(server_queue, status, count, took=0.1):
+def _calls(server_queue, status, count, service_s=0.1):
     for _ in range(count):
         server_queue.submit(job(server_queue, "a call", 9))
-        server_queue._loop.now += took
+        server_queue._loop.now += service_s
         server_queue.upstream.sent[0].reply(status)
 
 
-def test_a_server_that_fails_part_of_its_calls_is_known_by_them_and_it_fades(server_queue):
+def test_the_failure_rate_follows_failed_calls_and_decays(server_queue):
     _calls(server_queue, 200, 20)
     assert server_queue.failure_rate() == 0.0
     for _ in range(30):
         _calls(server_queue, 500, 1)
         _calls(server_queue, 200, 1)
-    bad = server_queue.failure_rate()
-    assert 0.3 < bad < 0.7
+    rate = server_queue.failure_rate()
+    assert 0.3 < rate < 0.7
     server_queue._loop.now += 30.0
-    assert server_queue.failure_rate() < bad / 500, "who gets no calls for it can't show that it is well"
+    assert server_queue.failure_rate() < rate / 500, "a server without calls can't show that it has recovered"
     server_queue.submit(job(server_queue, "broken", 9))
     server_queue.upstream.sent[0].end(AttemptOutcome.RESET)
     assert server_queue.failure_rate() > 0.05
     server_queue.update_server("i-2", 4, 0.0, True)
-    assert server_queue.failure_rate() == 0.0, "another process is another server"
+    assert server_queue.failure_rate() == 0.0, "a new process starts without failures"
 
 
-def test_a_failure_that_comes_soon_makes_nobody_look_fast(server_queue):
-    _calls(server_queue, 200, 30, took=0.2)
-    _calls(server_queue, 500, 30, took=0.001)
-    assert server_queue.pace("a call") == pytest.approx(0.2)
+def test_fast_failures_do_not_lower_the_service_time(server_queue):
+    _calls(server_queue, 200, 30, service_s=0.2)
+    _calls(server_queue, 500, 30, service_s=0.001)
+    assert server_queue.measured_service_s("a call") == pytest.approx(0.2)
 
 
-def test_a_pool_that_is_shut_says_so(server_queue):
-    assert server_queue.takes_calls()
+def test_a_queue_without_capacity_accepts_no_calls(server_queue):
+    assert server_queue.accepts_calls()
     server_queue.budget.steps, server_queue.budget.retry_at = 0, int((server_queue._loop.now + 1) * 1e9)
-    assert not server_queue.takes_calls()
+    assert not server_queue.accepts_calls()
     server_queue._loop.now += 1.1
-    assert server_queue.takes_calls(), "the one trial may go"
-    server_queue.gone()
-    assert not server_queue.takes_calls()
+    assert server_queue.accepts_calls(), "a trial is due"
+    server_queue.on_server_gone()
+    assert not server_queue.accepts_calls()
 
 
-def test_a_call_whose_client_has_left_goes_no_more_and_the_others_keep_their_order(server_queue):
-    told = []
+def test_a_withdrawn_call_is_not_sent_and_the_others_keep_their_order(server_queue):
+    results = []
     calls = {
-        name: job(server_queue, name, due, told=told) for name, due in zip("abcd", (1, 2, 3, 4), strict=True)
+        name: job(server_queue, name, due, results=results)
+        for name, due in zip("abcd", (1, 2, 3, 4), strict=True)
     }
     for call in calls.values():
         server_queue.submit(call)
     server_queue.withdraw(calls["c"])
     server_queue.withdraw(calls["c"])
-    assert told == [("c", ErrorKind.REFUSED, False)]
+    assert results == [("c", ErrorKind.REFUSED, False)]
     for _ in range(3):
         server_queue.upstream.sent[0].reply()
-    assert [name for name, error, _ in told if error is None] == ["a", "b", "d"]
+    assert [name for name, error, _ in results if error is None] == ["a", "b", "d"]
 
 
-def test_one_that_may_run_twice_is_broken_off_and_that_tells_nothing_of_the_server(server_queue):
-    told = []
-    first, second = job(server_queue, "a", 1, told=told), job(server_queue, "b", 2, told=told)
+def test_a_repeatable_call_is_aborted_without_counting_against_the_server(server_queue):
+    results = []
+    first, second = job(server_queue, "a", 1, results=results), job(server_queue, "b", 2, results=results)
     first.repeatable = True
     for call in (first, second):
         server_queue.submit(call)
     k = server_queue.budget.steps
     server_queue.withdraw(first)
-    assert told == [("a", ErrorKind.BROKEN, True)] and names(server_queue) == ["b"]
+    assert results == [("a", ErrorKind.BROKEN, True)] and sent_names(server_queue) == ["b"]
     assert (
         server_queue.failure_rate() == 0.0 and server_queue.budget.steps == k and server_queue.in_flight == 1
     )
 
 
-def test_one_that_may_not_runs_on(server_queue):
-    told = []
-    call = job(server_queue, "a", 1, told=told)
+def test_a_call_that_is_not_repeatable_runs_on(server_queue):
+    results = []
+    call = job(server_queue, "a", 1, results=results)
     server_queue.submit(call)
     server_queue.withdraw(call)
-    assert told == [] and names(server_queue) == ["a"]
+    assert results == [] and sent_names(server_queue) == ["a"]
     server_queue.upstream.sent[0].reply()
-    assert told == [("a", None, True)]
+    assert results == [("a", None, True)]
 
 
-def test_a_trial_that_is_broken_off_leaves_room_for_the_next(server_queue):
+def test_an_aborted_trial_permits_the_next_one(server_queue):
     server_queue.budget.max_steps = 3
     running, trial = job(server_queue, "a", 1), job(server_queue, "b", 2)
     trial.repeatable = True
@@ -344,41 +347,41 @@
     server_queue.withdraw(trial)
     assert not server_queue.budget.trial_in_flight
     server_queue.submit(job(server_queue, "c", 3))
-    assert names(server_queue) == ["a", "c"]
+    assert sent_names(server_queue) == ["a", "c"]
 
 
-def ranked(server_queue, name, due, rank, told):
-    made = job(server_queue, name, due, told=told)
-    made.priority = rank
-    return made
+def job_with_priority(server_queue, name, due, priority, results):
+    created = job(server_queue, name, due, results=results)
+    created.priority = priority
+    return created
 
 
-def test_a_more_urgent_call_takes_the_place_of_a_less_urgent_one(server_queue):
-    told = []
+def test_a_call_of_higher_priority_displaces_one_of_lower_priority(server_queue):
+    results = []
     server_queue.submit(job(server_queue, "running", 9))
     server_queue.mean_service_s = 1.0
     for at in range(3):
-        server_queue.submit(ranked(server_queue, f"low {at}", 3.5 + at / 10, 2, told))
-    assert not told and len(server_queue.queued) == 3
-    server_queue.submit(ranked(server_queue, "equal", 3.8, 2, told))
-    assert told.pop() == ("equal", ErrorKind.FULL, False), "among equals who is there stays"
-    server_queue.submit(ranked(server_queue, "urgent", 3.8, 1, told))
-    assert told == [("low 2", ErrorKind.FULL, False)], "the one that is due last, and no more than it takes"
-    server_queue.submit(ranked(server_queue, "hopeless", 0.5, 0, told))
-    assert [name for name, *_ in told] == ["low 2", "hopeless"], (
-        "nobody goes for one that is late all the same"
+        server_queue.submit(job_with_priority(server_queue, f"low {at}", 3.5 + at / 10, 2, results))
+    assert not results and len(server_queue.queued) == 3
+    server_queue.submit(job_with_priority(server_queue, "equal", 3.8, 2, results))
+    assert results.pop() == ("equal", ErrorKind.FULL, False), "a call does not displace one of equal priority"
+    server_queue.submit(job_with_priority(server_queue, "urgent", 3.8, 1, results))
+    assert results == [("low 2", ErrorKind.FULL, False)], "only the call due last, as that is enough"
+    server_queue.submit(job_with_priority(server_queue, "hopeless", 0.5, 0, results))
+    assert [name for name, *_ in results] == ["low 2", "hopeless"], (
+        "no call is displaced for one that would be late anyway"
     )
     server_queue.upstream.sent[0].reply()
-    assert names(server_queue) == ["low 0"], "the order is by when a start is due, as before"
+    assert sent_names(server_queue) == ["low 0"], "the order is still by due time"
 
 
 def test_a_light_call_is_not_displaced(server_queue):
-    told = []
+    results = []
     server_queue.submit(job(server_queue, "running", 9))
-    server_queue._means = {"light": (0.01, 5), "heavy": (1.0, 5)}
+    server_queue._service_times = {"light": (0.01, 5), "heavy": (1.0, 5)}
     server_queue.mean_service_s = 1.0
     for _ in range(3):
-        made = ranked(server_queue, "light", 3.5, 2, told)
-        server_queue.submit(made)
-    server_queue.submit(ranked(server_queue, "urgent", 1.5, 0, told))
-    assert told == [("urgent", ErrorKind.FULL, False)]
+        created = job_with_priority(server_queue, "light", 3.5, 2, results)
+        server_queue.submit(created)
+    server_queue.submit(job_with_priority(server_queue, "urgent", 1.5, 0, results))
+    assert results == [("urgent", ErrorKind.FULL, False)]
--- a/tests/mesh/wire.py
+++ b/tests/mesh/wire.py
@@ -1,4 +1,4 @@
-"""Messages as they come from the wire."""
+"""Decodes messages as received from the wire."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def message(*row: Any) -> messages.Message:
-    """A message as it comes from the wire."""
-    made = messages.decode(list(row))
-    assert made is not None
-    return made
+    """Returns the message that an array represents."""
+    decoded = messages.decode(list(row))
+    assert decoded is not None
+    return decoded
