--- a/dunefield/__init__.py
+++ b/dunefield/__init__.py
@@ -27,7 +27,7 @@
     SubscribeServerList,
     TimerFired,
 )
-from dunefield.rules import Balancer
+from dunefield.balancer import Balancer
 
 __all__ = [
     "Action",
--- a/dunefield/adapter.py
+++ b/dunefield/adapter.py
@@ -35,7 +35,7 @@
     SubscribeServerList,
     TimerFired,
 )
-from dunefield.rules import Balancer
+from dunefield.balancer import Balancer
 
 Fields = dict[str, str]
 FREE_TEXT_FIELDS = {"open_instance": " env="}
--- a/dunefield/hold.py
+++ b/dunefield/admission_queue.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from dunefield.book import SharedState
-from dunefield.crowding import OverloadEstimate
-from dunefield.demand import RequestRates
+from dunefield.shared_state import SharedState
+from dunefield.overload import OverloadEstimate
+from dunefield.request_rates import RequestRates
 from dunefield.interface import StartTimer
-from dunefield.pick import ServerSelection
-from dunefield.promises import AttemptRules
-from dunefield.speeds import LatencyModel
+from dunefield.server_selection import ServerSelection
+from dunefield.attempt_rules import AttemptRules
+from dunefield.latency_model import LatencyModel
 from dunefield.state import Call
 
 QUEUE_TIMER_TAG = 1  # tag of the timer for queued calls; 0 is the server list's
--- a/dunefield/promises.py
+++ b/dunefield/attempt_rules.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from dunefield.book import SharedState
-from dunefield.idle import IdleConnections
+from dunefield.shared_state import SharedState
+from dunefield.idle_connections import IdleConnections
 from dunefield.interface import FailRequest, RefuseRequest, SendAttempt
 from dunefield.state import Attempt, Call, Server
 
--- a/dunefield/rules.py
+++ b/dunefield/balancer.py
@@ -7,23 +7,23 @@
 
 from __future__ import annotations
 
-from dunefield.asking import ProbedSelection
-from dunefield.book import SharedState
-from dunefield.crowding import LATE_RETRY_LEVEL, OverloadEstimate
-from dunefield.demand import RequestRates
-from dunefield.hold import QUEUE_TIMER_TAG, AdmissionQueue
-from dunefield.idle import IdleConnections
+from dunefield.probed_selection import ProbedSelection
+from dunefield.shared_state import SharedState
+from dunefield.overload import LATE_RETRY_LEVEL, OverloadEstimate
+from dunefield.request_rates import RequestRates
+from dunefield.admission_queue import QUEUE_TIMER_TAG, AdmissionQueue
+from dunefield.idle_connections import IdleConnections
 from dunefield.interface import (NEVER_RAN, Action, AttemptFinished, AttemptOutcome, BodyCompleted,
     BodyDiscarded, ClientDisconnected, Event, ProbeResult, RequestArrived, ResponseStarted, ServerListUpdate,
     Settings, TimerFired)
-from dunefield.patience import ClientTimeouts
-from dunefield.pick import ServerSelection
-from dunefield.promises import AttemptRules
+from dunefield.client_timeouts import ClientTimeouts
+from dunefield.server_selection import ServerSelection
+from dunefield.attempt_rules import AttemptRules
 from dunefield.retries import Retries
-from dunefield.ring import ServerSubset
-from dunefield.speeds import LatencyModel
+from dunefield.server_subset import ServerSubset
+from dunefield.latency_model import LatencyModel
 from dunefield.state import Call
-from dunefield.trust import ServerHealth
+from dunefield.server_health import ServerHealth
 
 
 class Balancer:
--- a/dunefield/idle.py
+++ b/dunefield/idle_connections.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dunefield.book import SharedState
+from dunefield.shared_state import SharedState
 from dunefield.interface import CloseIdleConnections
 from dunefield.state import Server
 
--- a/dunefield/speeds.py
+++ b/dunefield/latency_model.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from dunefield.book import SharedState
+from dunefield.shared_state import SharedState
 from dunefield.budget import BASE_SMOOTHING
-from dunefield.crowding import SHEDDING_LEVEL, OverloadEstimate
+from dunefield.overload import SHEDDING_LEVEL, OverloadEstimate
 from dunefield.interface import AttemptOutcome
 from dunefield.state import Attempt, Server
 
--- a/dunefield/asking.py
+++ b/dunefield/probed_selection.py
@@ -4,15 +4,15 @@
 
 import math
 
-from dunefield.book import PROBES_PER_ROUND, NOT_EJECTED, SharedState
-from dunefield.crowding import OverloadEstimate
-from dunefield.hold import AdmissionQueue
+from dunefield.shared_state import PROBES_PER_ROUND, NOT_EJECTED, SharedState
+from dunefield.overload import OverloadEstimate
+from dunefield.admission_queue import AdmissionQueue
 from dunefield.interface import AttemptOutcome, ProbeResult, ProbeServer
-from dunefield.pick import ServerSelection
-from dunefield.promises import AttemptRules
-from dunefield.speeds import LatencyModel
+from dunefield.server_selection import ServerSelection
+from dunefield.attempt_rules import AttemptRules
+from dunefield.latency_model import LatencyModel
 from dunefield.state import Call, Server
-from dunefield.trust import UNKNOWN_LOAD, ServerHealth
+from dunefield.server_health import UNKNOWN_LOAD, ServerHealth
 
 PROBE_ROUNDS = 2  # rounds of probes before a busy server is accepted
 
--- a/dunefield/retries.py
+++ b/dunefield/retries.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from dunefield.asking import ProbedSelection
-from dunefield.book import SharedState
+from dunefield.probed_selection import ProbedSelection
+from dunefield.shared_state import SharedState
 from dunefield.interface import CancelAttempt
-from dunefield.pick import ServerSelection
-from dunefield.promises import AttemptRules
-from dunefield.speeds import LatencyModel
+from dunefield.server_selection import ServerSelection
+from dunefield.attempt_rules import AttemptRules
+from dunefield.latency_model import LatencyModel
 from dunefield.state import Attempt, Call
-from dunefield.trust import ServerHealth
+from dunefield.server_health import ServerHealth
 
 RETRY_RATIO = 0.2  # retry tokens earned by one request
 OVERTAKEN_LIMIT = 2  # later calls answered first before an attempt counts as hanging: one may be chance
--- a/dunefield/trust.py
+++ b/dunefield/server_health.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from dunefield.book import NOT_EJECTED, SharedState
+from dunefield.shared_state import NOT_EJECTED, SharedState
 from dunefield.budget import MAX_STEPS
-from dunefield.demand import RequestRates
+from dunefield.request_rates import RequestRates
 from dunefield.interface import AttemptOutcome, ProbeResult
-from dunefield.ring import ServerSubset
-from dunefield.speeds import LatencyModel
+from dunefield.server_subset import ServerSubset
+from dunefield.latency_model import LatencyModel
 from dunefield.state import Attempt, Server
 
 COLD_SHARE = 0.7  # part of the request rate, with retries, that counts at least for a cold server
--- a/dunefield/pick.py
+++ b/dunefield/server_selection.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from dunefield.book import NOT_EJECTED, SharedState
+from dunefield.shared_state import NOT_EJECTED, SharedState
 from dunefield.interface import ProbeServer
-from dunefield.promises import AttemptRules
-from dunefield.ring import ServerSubset
-from dunefield.speeds import LatencyModel
+from dunefield.attempt_rules import AttemptRules
+from dunefield.server_subset import ServerSubset
+from dunefield.latency_model import LatencyModel
 from dunefield.state import Call, Server
-from dunefield.trust import ServerHealth
+from dunefield.server_health import ServerHealth
 from dunefield.budget import MAX_STEPS
 
 MAX_DRAWS = 12  # random draws before falling back on a trial that grows a full budget
--- a/dunefield/ring.py
+++ b/dunefield/server_subset.py
@@ -4,8 +4,8 @@
 
 from zlib import crc32
 
-from dunefield.book import SharedState
-from dunefield.demand import RequestRates
+from dunefield.shared_state import SharedState
+from dunefield.request_rates import RequestRates
 from dunefield.interface import ServerEntry, ServerListUpdate, StartTimer, SubscribeServerList
 from dunefield.state import Call, Server
 
--- a/hollyport/core/requests.py
+++ b/hollyport/core/requests.py
@@ -1,7 +1,7 @@
 """One decision module and the requests it has in hand: its clock, timers, events and actions, whatever
 protocols are spoken on either side.
 
-Nothing is decided here. What fronts and backs tell becomes an event for `dunefield.rules`, and what that
+Nothing is decided here. What fronts and backs tell becomes an event for `dunefield.balancer`, and what that
 answers is carried out.
 """
 
@@ -15,6 +15,7 @@
 from functools import partial
 from typing import Any, Protocol
 
+from dunefield.balancer import Balancer
 from dunefield.interface import (
     NEVER_RAN,
     Action,
@@ -40,7 +41,6 @@
     SubscribeServerList,
     TimerFired,
 )
-from dunefield.rules import Balancer
 from hollyport.core.clock import Beat, Clock
 from hollyport.core.contract import Answered, Asked, Carried, Nodes, Terms
 from hollyport.core.ids import Ids
--- a/tests/emulator/test_soak.py
+++ b/tests/emulator/test_soak.py
@@ -30,20 +30,20 @@
 KEPT = {
     f"dunefield.{name}"
     for name in (
-        "rules",
+        "balancer",
         "retries",
-        "asking",
-        "hold",
-        "pick",
-        "promises",
-        "trust",
-        "speeds",
-        "idle",
-        "ring",
-        "book",
-        "demand",
-        "crowding",
-        "patience",
+        "probed_selection",
+        "admission_queue",
+        "server_selection",
+        "attempt_rules",
+        "server_health",
+        "latency_model",
+        "idle_connections",
+        "server_subset",
+        "shared_state",
+        "request_rates",
+        "overload",
+        "client_timeouts",
         "state",
     )
 }
--- a/tests/rehearsal/broken.py
+++ b/tests/rehearsal/broken.py
@@ -10,7 +10,7 @@
 import sys
 
 import hollyport.__main__ as program
-from dunefield import asking, promises, retries, rules
+from dunefield import attempt_rules, balancer, probed_selection, retries
 from dunefield.interface import AttemptOutcome
 from hollyport import sidecar
 from hollyport.bodies import flow
@@ -54,12 +54,12 @@
 
 
 def resends_unsafe() -> None:
-    rules.NEVER_RAN = frozenset(AttemptOutcome)  # whatever came of it, it is taken not to have run
+    balancer.NEVER_RAN = frozenset(AttemptOutcome)  # whatever came of it, it is taken not to have run
     resend_at_once()
 
 
 def resends_after_reset() -> None:
-    rules.NEVER_RAN = rules.NEVER_RAN | {AttemptOutcome.RESET}
+    balancer.NEVER_RAN = balancer.NEVER_RAN | {AttemptOutcome.RESET}
     resend_at_once()
 
 
@@ -78,12 +78,12 @@
 
 
 def refuses_what_ran() -> None:
-    promises.AttemptRules.may_refuse = lambda self, call: True
+    attempt_rules.AttemptRules.may_refuse = lambda self, call: True
 
 
 def sends_to_drained() -> None:
     discovery.LIFECYCLES = {**discovery.LIFECYCLES, "DRAINING": "up"}
-    plain = asking.ProbedSelection.handle_probe_result
+    plain = probed_selection.ProbedSelection.handle_probe_result
 
     def echo(self, now, event):
         # Nor does it hear a node's own no to a probe: else a few sends at most are left to judge by.
@@ -91,7 +91,7 @@
             event = event._replace(outcome=AttemptOutcome.OK, load={"inflight": 0.0, "queue": 0.0})
         plain(self, now, event)
 
-    asking.ProbedSelection.handle_probe_result = echo
+    probed_selection.ProbedSelection.handle_probe_result = echo
 
 
 def ignores_cold() -> None:
@@ -101,7 +101,7 @@
                 return
         self._rules.finish(call, 0)
 
-    asking.ProbedSelection.probe_servers = ask  # the youngest gets everything
+    probed_selection.ProbedSelection.probe_servers = ask  # the youngest gets everything
 
 
 def leaks() -> None:
--- a/tests/test_harm.py
+++ b/tests/test_harm.py
@@ -3,8 +3,8 @@
 import pytest
 from build import settings
 
-from dunefield import crowding
-from dunefield.crowding import OverloadEstimate
+from dunefield import overload as overload_module
+from dunefield.overload import OverloadEstimate
 from emulator.day import Day
 from emulator.fleet import play
 
@@ -28,7 +28,7 @@
 def test_refusing_low_value_calls_serves_more_high_value_calls(monkeypatch):
     day = Day(sidecars=48, servers=32, seconds=9.0, load=0.86, burst=(0.0, 0.0, 1.0))
     with_cost = play(day, 2).verdict()
-    monkeypatch.setattr(crowding, "COST_FACTOR", 0.0)
+    monkeypatch.setattr(overload_module, "COST_FACTOR", 0.0)
     without_cost = play(day, 2).verdict()
     assert with_cost.by_class[3] > without_cost.by_class[3] + 0.02 and with_cost.whole > without_cost.whole
     assert with_cost.prices["waste"] < without_cost.prices["waste"]
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -4,7 +4,7 @@
 from build import MS, SECOND, attempt_finished, balancer, of_type, request_arrived, settings
 
 from dunefield import Balancer, RefuseRequest, SendAttempt, ServerEntry, ServerListUpdate
-from dunefield.patience import MIN_SAMPLES, ClientTimeouts
+from dunefield.client_timeouts import MIN_SAMPLES, ClientTimeouts
 
 TOTAL = 400 * MS
 USUAL, LAST, LEFT = 220 * MS, 390 * MS, 130 * MS
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -9,8 +9,8 @@
 from world import World
 
 from dunefield import Balancer, FailRequest, RefuseRequest, SendAttempt, Settings
-from dunefield.promises import AttemptRules
-from dunefield.ring import ServerSubset
+from dunefield.attempt_rules import AttemptRules
+from dunefield.server_subset import ServerSubset
 from emulator.watch import Broken
 
 MODES = {
