--- a/mesh/proxy/forwarder.py
+++ b/mesh/proxy/forwarder.py
@@ -13,7 +13,7 @@
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.directory import Directory
 from mesh.proxy.endpoints import Endpoint
-from mesh.proxy.pending import PendingRequest
+from mesh.proxy.pending_request import PendingRequest
 from mesh.proxy.picker import LEAST_CLOSED_S, Picker
 from mesh.proxy.request_counts import NO_ROUTE, RequestCounts
 from mesh.proxy.retry_budget import RetryBudget
--- a/mesh/proxy/ingress.py
+++ b/mesh/proxy/ingress.py
@@ -12,7 +12,7 @@
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.control_client import ControlClient
 from mesh.proxy.forwarder import Forwarder
-from mesh.proxy.pending import PendingRequest
+from mesh.proxy.pending_request import PendingRequest
 from mesh.proxy.request_age import RequestAges
 from mesh.proxy.weighted_split import WeightedSplit
 from mesh.state.configuration import Route
--- a/mesh/proxy/picker.py
+++ b/mesh/proxy/picker.py
@@ -10,7 +10,7 @@
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.directory import Directory
 from mesh.proxy.endpoints import Endpoint, OwnZonePreference, best, draw, fresh
-from mesh.proxy.pending import PendingRequest
+from mesh.proxy.pending_request import PendingRequest
 from mesh.transport.messages import LoadQuery, LoadReport
 
 LARGE, MIDDLE = 4096, 1024  # bytes of a body and its usual answer, from which on they stay in their zone
--- a/mesh/proxy/sidecar.py
+++ b/mesh/proxy/sidecar.py
@@ -22,7 +22,7 @@
 from mesh.proxy.forwarder import Forwarder
 from mesh.proxy.ingress import Ingress
 from mesh.proxy.picker import Picker
-from mesh.proxy.server_beats import ServerHeartbeats
+from mesh.proxy.server_heartbeats import ServerHeartbeats
 from mesh.proxy.server_queue import ServerQueue
 from mesh.settings import Settings
 from mesh.state import configuration
