--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -106,7 +106,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     controller = Controller(settings.read(SETTINGS).ok)
-    now = controller.context.wall()
+    now = controller.context.wall_time()
     for number in range(claims):
         key, token = f"k-{number:012x}", f"auxiliary-dewan-a-1/1900000000000/{number}"
         controller.grants.registry.claim(now, key, token, 2.5)
--- a/benchmarks/mesh_bytes.py
+++ b/benchmarks/mesh_bytes.py
@@ -20,7 +20,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests" / "mesh"))
 
-from fake_machines import End, word  # noqa: E402
+from fake_machines import End, message_kind  # noqa: E402
 from mesh_world import World  # noqa: E402
 from operator_calls import change, route, service  # noqa: E402
 
@@ -42,8 +42,8 @@
             if packed is not None and end.other is not None:
                 both = (end.process.host, end.other.process.host)
                 ends = sum(host in self._sidecars for host in both)
-                self.bytes[NAMES[word(packed)]] += ends * len(packed)
-                self.messages[NAMES[word(packed)]] += ends
+                self.bytes[NAMES[message_kind(packed)]] += ends * len(packed)
+                self.messages[NAMES[message_kind(packed)]] += ends
             plain(end, packed)
 
         End._ship = ship  # type: ignore[method-assign]
@@ -75,7 +75,7 @@
 
 async def story(world: World, routes: int, told: Callable[[str], None]) -> None:
     """All phases in turn."""
-    await _until(lambda: len(world.counting()) == len(world.controllers))
+    await _until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
     await asyncio.sleep(3.0)
     told("start, no configuration yet")
     first = [route(f"r{at}", 1, f"/a{at}/") for at in range(routes)]
--- a/mesh/control/admin_api.py
+++ b/mesh/control/admin_api.py
@@ -5,7 +5,7 @@
 import json
 
 from hollyport.http.message import Message
-from mesh.control.agreement import ROUND_S, Agreement
+from mesh.control.agreement import ROUND_TIMEOUT_S, Agreement
 from mesh.control.context import Context
 from mesh.control.heartbeats import Heartbeats
 from mesh.errors import ANSWERS, ErrorKind
@@ -31,9 +31,9 @@
         """A call on the control address."""
         path = message.target.partition(b"?")[0]
         if path == b"/-/config" and message.method == b"PATCH":
-            self._context.start(self._patch(message))
+            self._context.spawn(self._patch(message))
         elif path == b"/-/config" and message.method == b"GET":
-            self._context.start(self._get(message))
+            self._context.spawn(self._get(message))
         elif path == b"/-/readiness":
             ready = self._context.member.counts and self._heartbeats.in_contact
             message.answer(200 if ready else 503)
@@ -42,7 +42,7 @@
         else:
             message.answer(ANSWERS[ErrorKind.NOT_HERE].status)
 
-    def _refuse_order(self, message: Message, error: ErrorKind, why: str = "") -> None:
+    def _refuse_change(self, message: Message, error: ErrorKind, why: str = "") -> None:
         self.orders.add((error.name.lower(),))
         self._refuse(message, error, why)
 
@@ -71,16 +71,16 @@
 
     async def _patch(self, message: Message) -> None:
         # What is invalid on old state may be valid on what stands, so nothing is judged before.
-        if not await self._heartbeats.found(max(0.0, ANSWER_S - ROUND_S)):
-            self._refuse_order(message, ErrorKind.NO_QUORUM)
+        if not await self._heartbeats.found(max(0.0, ANSWER_S - ROUND_TIMEOUT_S)):
+            self._refuse_change(message, ErrorKind.NO_QUORUM)
             return
-        read = configuration.read(message.body)
+        read = configuration.parse_change(message.body)
         if read.is_error():
-            self._refuse_order(message, ErrorKind.INVALID, read.error)
+            self._refuse_change(message, ErrorKind.INVALID, read.error)
             return
         outcome = await self._agreement.change(read.ok, ANSWER_S)
         if outcome.error is not None:
-            self._refuse_order(message, outcome.error, outcome.why)
+            self._refuse_change(message, outcome.error, outcome.why)
             return
         self.orders.add((ACKNOWLEDGED,))
         message.answer(200, b"{}", JSON)
--- a/mesh/control/agreement.py
+++ b/mesh/control/agreement.py
@@ -22,7 +22,7 @@
 from mesh.state import configuration
 from mesh.state.ballots import Ballot, Draft
 from mesh.state.configuration import Item
-from mesh.state.distribution import Copy
+from mesh.state.distribution import ConfigurationCopy
 from mesh.state.quorum import Turn, Voters
 from mesh.transport.connection import PeerConnection, pack
 from mesh.transport.messages import (
@@ -38,7 +38,7 @@
     matches_checksum,
 )
 
-ROUND_S = 0.4  # how long a round waits: the operator waits a second, and a change takes two
+ROUND_TIMEOUT_S = 0.4  # how long a round waits: the operator waits a second, and a change takes two
 TURN_S = 1.2  # how long a machine keeps other proposers waiting for one that says nothing more
 FINISH_S = 0.5  # a change that is open for longer has lost its proposer
 AGAIN_S = 0.02, 0.08  # pause of a proposer that was refused
@@ -69,10 +69,10 @@
     def __init__(self, context: Context, peers: Peers) -> None:
         self._context, self._peers = context, peers
         self._loop = context.loop
-        self._life = context.life
+        self._life = context.incarnation
         self.publish: Callable[[list[Item]], None] = lambda items: None
         self.replica = Replica()
-        self.copy = Copy()  # the items of the replica, with their digests
+        self.copy = ConfigurationCopy()  # the items of the replica, with their digests
         self._turn = Turn(TURN_S)
         self._highest = self.ballots = 0  # the highest that was seen; those made
         self._open_since = self._loop.time()
@@ -87,7 +87,7 @@
 
     def loaded(self) -> None:
         """All that was on the disk is loaded."""
-        self.copy.take(self.replica.items.values())
+        self.copy.merge(self.replica.items.values())
 
     def renew(self) -> None:
         """Others vote now: nobody has the turn."""
@@ -102,7 +102,7 @@
         """Swap the copy, write down what is news, and tell sidecars: what is in a copy was chosen, so a loss
         of power takes it from nobody."""
         before, self.replica = self.replica, replica
-        news = self.copy.take(items)
+        news = self.copy.merge(items)
         for item in news:
             self._context.write(["item", list(item)])
         if replica.sequence != before.sequence:
@@ -131,7 +131,7 @@
 
     def answer_prepare(self, link: PeerConnection, asked: Prepare) -> None:
         """A proposer asks for a promise."""
-        sequence, draft, items = self.replica.sequence, self.replica.open, self.lacking(asked.buckets)
+        sequence, draft, items = self.replica.sequence, self.replica.open_draft, self.lacking(asked.buckets)
 
         def tell(yes: bool) -> None:
             promised = self.replica.promised.number
@@ -193,14 +193,14 @@
                     epoch=asked.epoch,
                     sequence=replica.sequence,
                     items=items,
-                    draft=replica.open,
+                    draft=replica.open_draft,
                     promised=replica.promised,
                     checksum=checksum(items),
                 )
             )
 
         if asked.sealed:
-            self._context.tell_when_sealed(asked.epoch, tell)
+            self._context.confirm_sealed(asked.epoch, tell)
         else:
             tell(self._context.member.votes(asked.epoch))
 
@@ -229,16 +229,16 @@
             return yes
 
         rounds, links = self._context.rounds, self._peers.of(voters)
-        number, made = rounds.open(need, len(links), ROUND_S, take)
-        packed = pack(Fetch(number, voters.epoch, sealed, self.copy.packed_buckets()))
+        number, made = rounds.open(need, len(links), ROUND_TIMEOUT_S, take)
+        packed = pack(Fetch(number, voters.epoch, sealed, self.copy.bucket_digests()))
         for link in links:
             link.send_packed(packed)
         try:
-            return heard if await made.enough() else None
+            return heard if await made.wait_for_quorum() else None
         finally:
             rounds.close(number)
 
-    async def compare(self, link: PeerConnection) -> bool:
+    async def sync_from(self, link: PeerConnection) -> bool:
         """Take over what one other holds; whether it has answered. One question at a time."""
         if link.peer in self._fetching:
             return False
@@ -250,11 +250,11 @@
             return True
 
         rounds = self._context.rounds
-        number, made = rounds.open(1, 1, ROUND_S, take)
+        number, made = rounds.open(1, 1, ROUND_TIMEOUT_S, take)
         self._fetching.add(link.peer)
-        link.send(Fetch(number, COMPARISON, False, self.copy.packed_buckets()))
+        link.send(Fetch(number, COMPARISON, False, self.copy.bucket_digests()))
         try:
-            return await made.enough()
+            return await made.wait_for_quorum()
         finally:
             self._fetching.discard(link.peer)
             rounds.close(number)
@@ -266,20 +266,22 @@
         while True:
             voters = self._context.voters
             heard = (
-                await self._hear(voters, voters.read - self._context.votes, False) if voters.epoch else None
+                await self._hear(voters, voters.read - self._context.is_voter, False)
+                if voters.epoch
+                else None
             )
             if heard is not None:
                 if self._unfinished(heard) is None:
                     return True
                 await self._attempt(None)
-            if self._loop.time() > ends - ROUND_S:
+            if self._loop.time() > ends - ROUND_TIMEOUT_S:
                 return False
             await self._pause()
 
     def _unfinished(self, heard: dict[str, FetchAnswer]) -> Draft | None:
         """A change that may have been chosen and is not among the items yet."""
         promises = {name: Promise(answer.sequence, answer.draft) for name, answer in heard.items()}
-        promises[self._context.me] = Promise(self.replica.sequence, self.replica.open)
+        promises[self._context.me] = Promise(self.replica.sequence, self.replica.open_draft)
         return consensus.plan(promises, self.replica.sequence).unfinished
 
     async def change(self, call: tuple[Item, ...], limit_s: float) -> Outcome:
@@ -289,7 +291,7 @@
             outcome = await self._attempt(call)
             if outcome is not None:
                 return outcome
-            if self._loop.time() > ends - ROUND_S:
+            if self._loop.time() > ends - ROUND_TIMEOUT_S:
                 return Outcome(ErrorKind.NO_QUORUM)
             await self._pause()
 
@@ -309,13 +311,13 @@
             logger.info("a change that was left half way is finished", sequence=found.sequence + 1)
             await self._propose(voters, prepared, found.unfinished.items)
             return None
-        change = configuration.change(self.replica.items, call or ())
+        change = configuration.validate_change(self.replica.items, call or ())
         if change.is_ok() and change.ok:
             return Outcome() if await self._propose(voters, prepared, change.ok) else None
         self._abandon(voters, ballot)
         return Outcome(ErrorKind.INVALID, change.error) if change.is_error() else Outcome()
 
-    def _expected(self, voters: Voters) -> int:
+    def _expected_responses(self, voters: Voters) -> int:
         """Voters whose answers are waited for. One that is cut off is asked as well, but where no majority is
         left without one that has refused, the try is over: kept open for the rest of its time, two proposers
         at once would keep each other out, each with the turn of one voter."""
@@ -340,23 +342,23 @@
 
         links = self._peers.of(voters)
         own = me in voters.names
-        number, made = rounds.open(voters.write, self._expected(voters), ROUND_S, take)
+        number, made = rounds.open(voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, take)
 
         def promised(ok: bool) -> None:
             if ok:
                 heard[me] = mine
-                made.yes(me)
+                made.add_yes(me)
             else:
-                made.no(me)
+                made.add_no(me)
 
-        mine = Promise(self.replica.sequence, self.replica.open)
-        packed = pack(Prepare(number, voters.epoch, ballot, self.copy.packed_buckets()))
+        mine = Promise(self.replica.sequence, self.replica.open_draft)
+        packed = pack(Prepare(number, voters.epoch, ballot, self.copy.bucket_digests()))
         for link in links:
             link.send_packed(packed)
         if own and not self._promise(voters.epoch, ballot, promised):
-            made.no(me)
+            made.add_no(me)
         try:
-            if await made.enough():
+            if await made.wait_for_quorum():
                 return Prepared(ballot, heard, consensus.plan(heard, self.replica.sequence))
         finally:
             rounds.close(number)
@@ -377,7 +379,7 @@
         me, rounds = self._context.me, self._context.rounds
         links = self._peers.of(voters)
         own = me in voters.names
-        number, made = rounds.open(voters.write, self._expected(voters), ROUND_S, take)
+        number, made = rounds.open(voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, take)
         for link in links:
             promise = heard.get(link.peer)
             behind = promise is not None and promise.sequence < found.sequence
@@ -385,10 +387,10 @@
             link.send(Accept(number, voters.epoch, ballot, sequence, items, base))
         if own:
             self._accept(
-                voters.epoch, ballot, sequence, items, lambda ok: made.yes(me) if ok else made.no(me)
+                voters.epoch, ballot, sequence, items, lambda ok: made.add_yes(me) if ok else made.add_no(me)
             )
         try:
-            chosen = await made.enough()
+            chosen = await made.wait_for_quorum()
         finally:
             rounds.close(number)
         if not chosen:
@@ -409,7 +411,7 @@
     async def finish(self) -> None:
         """Finish what was accepted here and has been open for too long: its proposer may have ended after it
         had said 200."""
-        if self._finishing or self.replica.open is None:
+        if self._finishing or self.replica.open_draft is None:
             return
         if self._loop.time() < self._open_since + FINISH_S * (1 + random.random()):
             return
--- a/mesh/control/consensus.py
+++ b/mesh/control/consensus.py
@@ -46,10 +46,10 @@
     sequence: int = 0  # changes that the items contain
     promised: Ballot = FIRST
     draft: Draft | None = None
-    granted: Ballot = FIRST  # whose change may be accepted in this life of the process
+    active_ballot: Ballot = FIRST  # whose change may be accepted in this life of the process
 
     @property
-    def open(self) -> Draft | None:
+    def open_draft(self) -> Draft | None:
         """The draft, where it is not known to be settled."""
         return self.draft if self.draft is not None and self.draft.sequence > self.sequence else None
 
@@ -57,12 +57,12 @@
         """Promise to accept nothing lower; None where something higher, or the same, has that promise."""
         if ballot <= self.promised:
             return None
-        return self._replace(promised=ballot, granted=ballot)
+        return self._replace(promised=ballot, active_ballot=ballot)
 
     def accept(self, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica | None:
         """Accept a change; None where another proposer was promised something since, or the copy does not
         contain just the changes before."""
-        if ballot != self.granted or ballot < self.promised or self.sequence != sequence - 1:
+        if ballot != self.active_ballot or ballot < self.promised or self.sequence != sequence - 1:
             return None
         return self._replace(draft=Draft(sequence, ballot, items))
 
@@ -77,14 +77,14 @@
         made = self._replace(
             items=configuration.merge(self.items, items), sequence=max(sequence, self.sequence)
         )
-        return made if made.open is not None else made._replace(draft=None)
+        return made if made.open_draft is not None else made._replace(draft=None)
 
     def adopt(self, draft: Draft | None, promised: Ballot) -> Replica:
         """Take over what another has accepted and promised, as if this copy had."""
         made = self._replace(promised=max(self.promised, promised))
         if draft is None or draft.sequence <= self.sequence:
             return made
-        if self.open is not None and (draft.sequence, draft.ballot) <= self.open[:2]:
+        if self.open_draft is not None and (draft.sequence, draft.ballot) <= self.open_draft[:2]:
             return made
         return made._replace(draft=draft, promised=max(made.promised, draft.ballot))
 
@@ -97,8 +97,8 @@
         yield ["sequence", self.sequence]
         if self.promised != FIRST:
             yield ["promise", *self.promised]
-        if self.open is not None:
-            yield ["draft", self.open.row()]
+        if self.open_draft is not None:
+            yield ["draft", self.open_draft.row()]
 
     def load(self, record: list[Any]) -> Replica:
         """One record, oldest first."""
--- a/mesh/control/controller.py
+++ b/mesh/control/controller.py
@@ -158,9 +158,9 @@
         self._http_server = await http_server.open_http_server(settings.control, self.api.serve)
         for address in [*settings.seed_peers, *self.voters.names, *self.context.member.before]:
             self.peers.know(address)
-        self.context.start(self.recovery.begin(fresh))
-        self.context.start(self.heartbeats.run())
-        self.context.start(self._oversee())
+        self.context.spawn(self.recovery.begin(fresh))
+        self.context.spawn(self.heartbeats.run())
+        self.context.spawn(self._oversee())
         keys = len(self.grants.registry)
         logger.info("controller listens", counts=self.counts, items=len(self.items), keys=keys)
 
@@ -203,7 +203,7 @@
             await asyncio.sleep(OVERSEE_S * (0.75 + random.random() / 2))
             self.peers.forget_silent()
             self.elections.consider()
-            if self.in_contact and self.context.votes:
+            if self.in_contact and self.context.is_voter:
                 await self.agreement.finish()
 
     # --- news
@@ -239,7 +239,7 @@
                 "fewer controllers than the losses to be borne take: nothing acknowledged is lost, but less "
                 "can be served while some are down"
             )
-        context.write_member()
+        context.write_membership()
         for name in told.names:
             self.peers.know_voter(name)
         self.peers.send_hello()
@@ -247,7 +247,7 @@
         self.heartbeats.send(self.peers.linked.values())
         self.grants.retry()
         if not self.counts:
-            context.start(self.recovery.settle())
+            context.spawn(self.recovery.settle())
 
     def _whole(self) -> None:
         """This controller counts from now on."""
--- a/mesh/control/controller_figures.py
+++ b/mesh/control/controller_figures.py
@@ -52,7 +52,7 @@
     safety, voters = heartbeats.safety, context.voters
     yield gauge("mesh_in_contact", "1 while it is in contact with a majority.", heartbeats.in_contact)
     yield gauge("mesh_whole", "1 while its disk is whole.", context.member.counts)
-    yield gauge("mesh_votes", "1 while it votes; 0 for a learner.", context.votes)
+    yield gauge("mesh_votes", "1 while it votes; 0 for a learner.", context.is_voter)
     yield gauge("mesh_voters_epoch", "The epoch of the voters.", voters.epoch)
     yield gauge("mesh_voters", "Controllers that vote.", len(voters.names))
     yield gauge("mesh_voters_away", "Voters that are not heard.", len(heartbeats.away()))
--- a/mesh/control/elections.py
+++ b/mesh/control/elections.py
@@ -9,9 +9,9 @@
 
 from loguru import logger
 
-from mesh.control.agreement import ROUND_S
+from mesh.control.agreement import ROUND_TIMEOUT_S
 from mesh.control.ballot import Proposal, holder, plan, voter_count
-from mesh.control.context import CLAIM_S, Context
+from mesh.control.context import CLAIM_TIMEOUT_S, Context
 from mesh.control.heartbeats import Heartbeats
 from mesh.control.peers import Peers
 from mesh.state.ballots import Ballot
@@ -91,7 +91,7 @@
             self._sealed_at = self._context.loop.time()
             answer = SealAnswer(asked.round, yes, asked.epoch, member.promised.number)
         if yes:
-            self._context.write_member(lambda ok: tell(answer) if ok else None)
+            self._context.write_membership(lambda ok: tell(answer) if ok else None)
         else:
             tell(answer)
 
@@ -130,15 +130,15 @@
 
         links = self._peers.of(voters)
         own = int(context.me in voters.names)
-        number, round_ = context.rounds.open(voters.write, len(links) + own, CLAIM_S, take)
+        number, round_ = context.rounds.open(voters.write, len(links) + own, CLAIM_TIMEOUT_S, take)
         asked: Bid | Seal = Bid(number, voters.epoch, made.ballot)
         if seal:
             asked = Seal(number, voters.epoch, made.ballot, made.names)
         for link in links:
             link.send(asked)
-        self._vote(asked, lambda answer: round_.yes(context.me) if take(context.me, answer) else None)
+        self._vote(asked, lambda answer: round_.add_yes(context.me) if take(context.me, answer) else None)
         try:
-            return await round_.enough()
+            return await round_.wait_for_quorum()
         finally:
             context.rounds.close(number)
 
@@ -147,8 +147,8 @@
         context, voters = self._context, self._context.voters
         self.proposals += 1
         number = max(context.member.promised.number, self._highest) + 1
-        ballot = Ballot(number, f"{context.me}/{context.life}/{self.proposals}")
-        made = Proposal(voters, ballot, tuple(wish), context.loop.time(), CLAIM_S)
+        ballot = Ballot(number, f"{context.me}/{context.incarnation}/{self.proposals}")
+        made = Proposal(voters, ballot, tuple(wish), context.loop.time(), CLAIM_TIMEOUT_S)
         if await self._poll(made, seal=False) and made.asked:
             await self._poll(made, seal=True)
         if made.decided is not None:
@@ -168,13 +168,13 @@
             return True
 
         links = self._peers.linked.values()
-        number, made = context.rounds.open(len(links), len(links), ROUND_S, take)
+        number, made = context.rounds.open(len(links), len(links), ROUND_TIMEOUT_S, take)
         self._peers.send(AskView(number, voters.epoch))
         try:
-            await made.enough()
+            await made.wait_for_quorum()
         finally:
             context.rounds.close(number)
-        wish = plan(voters, context.settings.losses, views, context.patience)
+        wish = plan(voters, context.settings.losses, views, context.membership_delays)
         if wish is not None and context.voters == voters:
             logger.info("others should vote", epoch=voters.epoch + 1, names=list(wish))
             await self.propose(wish)
@@ -200,16 +200,16 @@
         if member.accepted is not None:
             # Whoever proposed it has ended, or was not heard. Two who propose at once only take longer.
             if now > self._sealed_at + FINISH_S * (1 + random.random()):
-                context.start(self._change_once())
+                context.spawn(self._change_once())
             return
         settled = now >= self._since + SETTLED_S
         if settled and self._reason(now) and self._has_duty() and self._heartbeats.in_contact:
-            context.start(self._change_once())
+            context.spawn(self._change_once())
 
     def _reason(self, now: float) -> bool:
         """Whether a voter has been away for too long, a spare could vote, or the set is even."""
         context, voters = self._context, self._context.voters
-        patience, watch = context.patience, self._peers.watch
+        patience, watch = context.membership_delays, self._peers.watch
         others = [name for name in voters.names if name != context.me]
         away_s = max((watch.gone(now, name) for name in others), default=0.0)
         losses, size = context.settings.losses, len(voters.names)
--- a/mesh/control/heartbeats.py
+++ b/mesh/control/heartbeats.py
@@ -42,7 +42,7 @@
     @property
     def in_contact(self) -> bool:
         """Whether a majority of the voters has been heard lately, by the steady clock as it stands now."""
-        return self.lease.holds(time.monotonic(), self._context.voters, self._context.votes)
+        return self.lease.holds(time.monotonic(), self._context.voters, self._context.is_voter)
 
     @property
     def may_return(self) -> bool:
@@ -58,7 +58,7 @@
 
     def send(self, links: Iterable[PeerConnection]) -> None:
         """Ask some of them now."""
-        number, now = self._context.rounds.number(), time.monotonic()
+        number, now = self._context.rounds.next_number(), time.monotonic()
         self._sent[number] = now
         while self._sent[next(iter(self._sent))] < now - KEPT_BEATS * self.beat_s:
             del self._sent[next(iter(self._sent))]
@@ -70,7 +70,7 @@
         """Another controller asks."""
         context, agreement = self._context, self._agreement
         digest, sequence = agreement.copy.digest, agreement.replica.sequence
-        link.send(HeartbeatAnswer(asked.number, context.voters.epoch, context.votes, digest, sequence))
+        link.send(HeartbeatAnswer(asked.number, context.voters.epoch, context.is_voter, digest, sequence))
         if asked.epoch < context.voters.epoch:
             link.send(self._peers.hello())
 
@@ -82,7 +82,7 @@
         self._peers.watch.heard(self._context.loop.time(), link.peer)
         counts = told.votes and told.epoch == self._context.voters.epoch
         if told.digest not in (self._agreement.copy.digest, 0):
-            self._context.start(self._compare(link, asked_at, counts))
+            self._context.spawn(self._compare(link, asked_at, counts))
             return
         if told.digest == self._agreement.copy.digest:
             self._agreement.learn((), told.sequence)
@@ -93,7 +93,7 @@
     async def _compare(self, link: PeerConnection, asked_at: float, counts: bool) -> None:
         """Take over what another holds and this one does not: what a cut or a freeze kept from here."""
         epoch = self._context.voters.epoch
-        merged = await self._agreement.compare(link)
+        merged = await self._agreement.sync_from(link)
         if merged and counts and epoch == self._context.voters.epoch:
             self.lease.answered(link.peer, asked_at)
             self.look()
@@ -132,7 +132,7 @@
 
     def _warn_of_lost_majority(self, now: float) -> None:
         voters = self._context.voters
-        if not voters.epoch or self._said_lost or now <= self._last_at + self._context.gone_s:
+        if not voters.epoch or self._said_lost or now <= self._last_at + self._context.absence_timeout_s:
             return
         self._said_lost = True
         logger.warning(
@@ -146,7 +146,7 @@
     def away(self) -> list[str]:
         """The voters that don't answer."""
         voters = self._context.voters
-        heard = self.lease.heard(time.monotonic(), voters, self._context.votes)
+        heard = self.lease.heard(time.monotonic(), voters, self._context.is_voter)
         return [name for name in voters.names if name not in heard]
 
     @property
--- a/mesh/control/key_grants.py
+++ b/mesh/control/key_grants.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from mesh.control.context import CLAIM_S, Context
+from mesh.control.context import CLAIM_TIMEOUT_S, Context
 from mesh.control.heartbeats import Heartbeats
 from mesh.state.idempotency import GrantRow, Mark, Registry, row_of
 from mesh.transport.connection import PeerConnection
@@ -35,7 +35,7 @@
     def load(self, record: list[Any]) -> None:
         """One record, oldest first. Grants carry times of day, as the steady clock does not outlast a
         process."""
-        now, kind = self._context.wall(), record[0]
+        now, kind = self._context.wall_time(), record[0]
         if kind == "key":
             key, token, mark, until, expires, answer = record[1]
             self.registry.take(now, [GrantRow(key, token, mark, until - now, expires - now, answer)])
@@ -46,7 +46,7 @@
 
     def records(self) -> list[list[Any]]:
         """All that still counts."""
-        now = self._context.wall()
+        now = self._context.wall_time()
         return [_record(now, row) for row in self.registry.rows(now)]
 
     # --- claims
@@ -75,7 +75,7 @@
         link.send(_cannot_tell(asked))
 
     def _grant(self, link: PeerConnection, asked: ClaimKey) -> None:
-        now, key, token = self._context.wall(), asked.key, asked.token
+        now, key, token = self._context.wall_time(), asked.key, asked.token
         grant, fresh = self.registry.claim(now, key, token, asked.remaining_s)
         if grant.token != token or grant.mark != Mark.CLAIMED:
             link.send(ClaimAnswer(asked.claim, ANOTHERS, grant.token, int(grant.mark), grant.answer))
@@ -98,7 +98,7 @@
             return
         held, self._held = self._held, []
         for waiting in held:
-            if not waiting.link.open or self._context.loop.time() >= waiting.at + CLAIM_S:
+            if not waiting.link.open or self._context.loop.time() >= waiting.at + CLAIM_TIMEOUT_S:
                 continue
             before = len(self._held)
             self.claim(waiting.link, waiting.claim)
@@ -109,20 +109,20 @@
 
     def done(self, told: KeyDone) -> None:
         """An operation has run, and has an answer."""
-        now = self._context.wall()
+        now = self._context.wall_time()
         if self.registry.done(now, told.key, told.token, told.answer):
             self._context.write(_record(now, self.registry.row(now, told.key)))
 
     def broke(self, told: KeyBroken) -> None:
         """An operation may have run, and has no answer."""
         self._drop_held(told.token)
-        if self.registry.broke(self._context.wall(), told.key, told.token):
+        if self.registry.broke(self._context.wall_time(), told.key, told.token):
             self._context.write(["broke", told.key, told.token])
 
     def free(self, told: FreeKey) -> None:
         """An operation has not run, and will not."""
         self._drop_held(told.token)
-        if self.registry.free(self._context.wall(), told.key, told.token):
+        if self.registry.free(self._context.wall_time(), told.key, told.token):
             self._context.write(["free", told.key, told.token])
 
     def _drop_held(self, token: str) -> None:
--- a/mesh/control/peers.py
+++ b/mesh/control/peers.py
@@ -93,7 +93,7 @@
 
     def _all_lives(self) -> dict[str, int]:
         known = {name: self._lives.get(name, 0) for name in self._dials}
-        return {self._context.me: self._context.life} | known
+        return {self._context.me: self._context.incarnation} | known
 
     def send_hello(self) -> None:
         """Tell all of them anew."""
@@ -190,20 +190,20 @@
         if life < self._lives.get(address, 0) or self._keeps(address):
             return
         silent_s = self.watch.gone(self._context.loop.time(), address)
-        if address not in self._dials or silent_s >= self._context.gone_s:
+        if address not in self._dials or silent_s >= self._context.absence_timeout_s:
             self._drop(address, life)
 
     def live_on(self, life: int) -> None:
         """Others have forgotten this life: the next one is heard of again."""
-        if life >= self._context.life:
-            self._context.life = max(life + 1, int(self._context.wall() * 1000))
+        if life >= self._context.incarnation:
+            self._context.incarnation = max(life + 1, int(self._context.wall_time() * 1000))
             self._changed()
 
     def forget_silent(self) -> None:
         """Let go of those that have not been heard for very long."""
         now = self._context.loop.time()
         for name in list(self._dials):
-            if not self._keeps(name) and self.watch.gone(now, name) >= 4 * self._context.gone_s:
+            if not self._keeps(name) and self.watch.gone(now, name) >= 4 * self._context.absence_timeout_s:
                 self._drop(name, self._lives.get(name, 0))
 
     def _drop(self, address: str, life: int) -> None:
--- a/mesh/control/publisher.py
+++ b/mesh/control/publisher.py
@@ -100,7 +100,7 @@
         news = known is None or record.order > known.order
         if news:
             self._records[record.node] = record
-            self._digest.take(record.node, record.incarnation, record.number)
+            self._digest.update(record.node, record.incarnation, record.number)
         if told.version >= VERSION_WITH_RECORDS_DIGEST:
             self._take_digests.add(link)
         if fresh:
@@ -168,7 +168,7 @@
         if record is None or record.incarnation != life or node in self._sidecars.values():
             return
         del self._records[node]
-        self._digest.drop(node)
+        self._digest.remove(node)
         self._news.pop(node, None)
         self.send(EndpointGone(node, life))
 
--- a/mesh/control/recovery.py
+++ b/mesh/control/recovery.py
@@ -15,7 +15,7 @@
 
 from mesh.control.agreement import Agreement
 from mesh.control.ballot import first_voters
-from mesh.control.context import CLAIM_S, Context
+from mesh.control.context import CLAIM_TIMEOUT_S, Context
 from mesh.control.key_grants import KeyGrants
 from mesh.control.peers import Peers
 from mesh.state.idempotency import FREED_S, GrantSnapshot
@@ -97,7 +97,7 @@
         member, loop = self._context.member, self._context.loop
         try:
             while not member.counts:
-                if member.may_have_promised and loop.time() < self._began + CLAIM_S + MARGIN_S:
+                if member.may_have_promised and loop.time() < self._began + CLAIM_TIMEOUT_S + MARGIN_S:
                     await asyncio.sleep(LOOK_S)  # until rounds that a former life answered are void
                 elif not await self._hear_any():
                     await asyncio.sleep(AGAIN_S)
@@ -164,7 +164,7 @@
                 return False
             if not matches_checksum(answer.rows, answer.checksum):
                 return False
-            self._grants.registry.take(self._context.wall(), answer.rows)
+            self._grants.registry.take(self._context.wall_time(), answer.rows)
             self._context.member.heard(epoch, answer.promised)
             part, more = part + 1, answer.more
         return True
@@ -186,7 +186,7 @@
             number, made = rounds.open(1, 1, PART_S, take)
             link.send(FetchGrants(number, epoch, sealed, part))
             try:
-                if await made.enough():
+                if await made.wait_for_quorum():
                     return found[0]
             finally:
                 rounds.close(number)
@@ -203,12 +203,12 @@
             if snapshot is None:
                 link.send(GrantsAnswer(asked.round, False, (), asked.epoch, promised))
                 return
-            rows, more = snapshot.part(self._context.wall(), asked.part)
+            rows, more = snapshot.part(self._context.wall_time(), asked.part)
             told = GrantsAnswer(asked.round, True, rows, asked.epoch, promised, more, checksum(rows))
             link.send(told)
 
         if asked.sealed:
-            self._context.tell_when_sealed(asked.epoch, tell)
+            self._context.confirm_sealed(asked.epoch, tell)
         else:
             tell(self._context.member.votes(asked.epoch))
 
@@ -216,7 +216,9 @@
         """The grants of one moment for one that asks; None where its parts are of a moment that is gone."""
         served = self._served.get(link)
         if asked.part == 0:
-            served = Serving(asked.epoch, asked.sealed, self._grants.registry.snapshot(self._context.wall()))
+            served = Serving(
+                asked.epoch, asked.sealed, self._grants.registry.snapshot(self._context.wall_time())
+            )
             self._served[link] = served
             self._context.loop.call_later(SNAPSHOT_S, self._expire, link, served)
         if served is None or (served.epoch, served.sealed) != (asked.epoch, asked.sealed):
--- a/mesh/control/rounds.py
+++ b/mesh/control/rounds.py
@@ -24,7 +24,7 @@
         self._refused = set[str]()
         self._done: asyncio.Future[bool] = self._loop.create_future()
 
-    def yes(self, name: str) -> None:
+    def add_yes(self, name: str) -> None:
         """One that counts, once."""
         if self._loop.time() > self._ends:
             return
@@ -32,7 +32,7 @@
         if len(self.names) >= self.need:
             self._settle(True)
 
-    def no(self, name: str) -> None:
+    def add_no(self, name: str) -> None:
         """One that does not; with so many the round is over at once."""
         self._refused.add(name)
         if self._asked - len(self._refused) < self.need:
@@ -42,7 +42,7 @@
         if not self._done.done():
             self._done.set_result(enough)
 
-    async def enough(self) -> bool:
+    async def wait_for_quorum(self) -> bool:
         """Whether as many as are needed answered in time."""
         if self.need <= len(self.names):
             return True
@@ -61,7 +61,7 @@
         self._open: dict[int, tuple[Round, Take]] = {}
         self._next = 0
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         """One that was not used before."""
         self._next += 1
         return self._next
@@ -69,7 +69,7 @@
     def open(self, need: int, asked: int, limit_s: float, take: Take) -> tuple[int, Round]:
         """Begin one: its number goes with the question, and comes back with each answer."""
         made = Round(need, asked, limit_s)
-        number = self.number()
+        number = self.next_number()
         self._open[number] = made, take
         return number, made
 
@@ -84,6 +84,6 @@
             return
         made, take = found
         if take(name, message):
-            made.yes(name)
+            made.add_yes(name)
         else:
-            made.no(name)
+            made.add_no(name)
--- a/mesh/proxy/control_client.py
+++ b/mesh/proxy/control_client.py
@@ -12,7 +12,14 @@
 from mesh.settings import Address
 from mesh.state import configuration
 from mesh.state.configuration import Item
-from mesh.state.distribution import LOOK_S, PULL_S, RECORDS_WAIT_S, Copy, Following, RecordsComparison
+from mesh.state.distribution import (
+    PULL_DELAY_S,
+    PULL_TIMEOUT_S,
+    RECORDS_PULL_DELAY_S,
+    ConfigurationCopy,
+    ControllerSelector,
+    RecordsComparison,
+)
 from mesh.state.quorum import Voters
 from mesh.transport.connection import Dialer, MessageHandler, PeerConnection, pack
 from mesh.transport.messages import (
@@ -46,10 +53,10 @@
     ) -> None:
         self._context, self._hear, self._own_record = context, hear, own_record
         settings = context.settings
-        self.copy = Copy()  # the items that are in force here
-        self.table = configuration.NOTHING
+        self.copy = ConfigurationCopy()  # the items that are in force here
+        self.table = configuration.EMPTY_TABLE
         self.links: dict[str, PeerConnection] = {}  # by controller
-        self.following = Following(context.me, settings.zone)
+        self.following = ControllerSelector(context.me, settings.zone)
         self.on_table: Callable[[], None] = lambda: None
         self.records_digest: Callable[[], int] = lambda: 0
         """The digest of all records that this sidecar holds."""
@@ -96,8 +103,8 @@
     def _disconnected(self, address: str, link: PeerConnection) -> None:
         if self.links.get(address) is link:
             del self.links[address]
-            self.following.down(address)
-            self._comparison.down(address)
+            self.following.on_disconnect(address)
+            self._comparison.on_disconnect(address)
             self._follow()
             self._forget(address)
         self.key_claims.on_connection_lost(address)
@@ -142,7 +149,7 @@
 
     def hear_contact(self, link: PeerConnection, told: InContact) -> None:
         """Whether a controller is in contact with a majority: else another is followed."""
-        self.following.current(link.peer, told.in_contact)
+        self.following.set_in_contact(link.peer, told.in_contact)
         self._follow()
 
     def _follow(self) -> None:
@@ -158,11 +165,11 @@
 
     def hear_digest(self, link: PeerConnection, told: Digest) -> None:
         """What a controller may tell has this digest."""
-        if self.following.told(self._context.now(), link.peer, told.digest, self.copy.digest):
+        if self.following.on_digest(self._context.now(), link.peer, told.digest, self.copy.digest):
             # The one that is followed tells it in answer to `Follow`: what is lacking has to be asked for.
             # But who has nothing yet is told all.
             known = link.peer == self.following.controller and self.copy.digest
-            self._context.loop.call_later(0.0 if known else LOOK_S, self._pull_if_lacking, link)
+            self._context.loop.call_later(0.0 if known else PULL_DELAY_S, self._pull_if_lacking, link)
 
     def _pull_if_lacking(self, link: PeerConnection) -> None:
         """Ask a controller for what it has and this sidecar has not, if that did not come by itself."""
@@ -171,20 +178,20 @@
         followed = self.links.get(self.following.controller)
         tells = followed is not None and (followed is not link or not self.copy.digest)
         heard_at = followed.last_received_at if followed is not None and tells else 0.0
-        lacking = self.following.lacks(self._context.now(), link.peer, self.copy.digest, heard_at)
+        lacking = self.following.should_pull(self._context.now(), link.peer, self.copy.digest, heard_at)
         if lacking is None:
-            self._context.loop.call_later(LOOK_S, self._pull_if_lacking, link)
+            self._context.loop.call_later(PULL_DELAY_S, self._pull_if_lacking, link)
         elif lacking:
             self._pull(link)
 
     def _pull(self, link: PeerConnection) -> None:
-        link.send(Pull(self.copy.packed_buckets()))
+        link.send(Pull(self.copy.bucket_digests()))
 
     def hear_records_digest(self, link: PeerConnection, told: RecordsDigest) -> None:
         """What a controller that is not followed holds of sidecars' records has this digest."""
         now = self._context.now()
-        if self._comparison.told(now, link.peer, told.digest, self.records_digest()):
-            self._context.loop.call_later(RECORDS_WAIT_S, self._pull_records_if_lacking, link)
+        if self._comparison.on_digest(now, link.peer, told.digest, self.records_digest()):
+            self._context.loop.call_later(RECORDS_PULL_DELAY_S, self._pull_records_if_lacking, link)
 
     def _pull_records_if_lacking(self, link: PeerConnection) -> None:
         """Ask a controller for all records, if what it holds did not come by itself. The one that is followed
@@ -192,11 +199,11 @@
         if not link.open:
             return
         if link.peer == self.following.controller:
-            self._comparison.down(link.peer)
+            self._comparison.on_disconnect(link.peer)
             return
-        lacking = self._comparison.lacks(self._context.now(), link.peer, self.records_digest())
+        lacking = self._comparison.should_pull(self._context.now(), link.peer, self.records_digest())
         if lacking is None:
-            self._context.loop.call_later(RECORDS_WAIT_S, self._pull_records_if_lacking, link)
+            self._context.loop.call_later(RECORDS_PULL_DELAY_S, self._pull_records_if_lacking, link)
         elif lacking:
             link.send(PullRecords())
 
@@ -204,17 +211,17 @@
         """Items that are news, or all."""
         if not matches_checksum(told.items, told.checksum):
             logger.warning("items that are not those that were sent are dropped and asked for anew")
-            self._context.loop.call_later(PULL_S, self._pull, link)
+            self._context.loop.call_later(PULL_TIMEOUT_S, self._pull, link)
             return
         self.take_items(told.items)
         link.send(ItemsReceived(told.number))
 
     def take_items(self, items: Iterable[Item]) -> None:
         """Merge items, and swap the table where they are news."""
-        self.following.answered()
-        if not self.copy.take(items):
+        self.following.on_pull_answered()
+        if not self.copy.merge(items):
             return
-        self.table, wrong = configuration.table(self.copy.items)
+        self.table, wrong = configuration.build_table(self.copy.items)
         for clash in wrong:
             logger.warning("held out: {}", clash.text)
         self.on_table()
--- a/mesh/proxy/directory.py
+++ b/mesh/proxy/directory.py
@@ -98,7 +98,7 @@
         if known is not None and record.order <= known.order:
             return
         self.records[record.node] = record
-        self.digest.take(record.node, record.incarnation, record.number)
+        self.digest.update(record.node, record.incarnation, record.number)
         self.most_sidecars = max(self.most_sidecars, len(self.records))
         endpoint = self._endpoint_of(record)
         endpoint.zone = record.zone
@@ -120,7 +120,7 @@
         if endpoint is not None and endpoint.service != record.service:
             self._drop(record.node)
             self.records[record.node] = record
-            self.digest.take(record.node, record.incarnation, record.number)
+            self.digest.update(record.node, record.incarnation, record.number)
             endpoint = None
         if endpoint is None:
             endpoint = self.endpoints[record.node] = Endpoint(record.node, record.service)
@@ -146,7 +146,7 @@
     def _drop(self, node: str) -> None:
         endpoint = self.endpoints.pop(node, None)
         self.records.pop(node, None)
-        self.digest.drop(node)
+        self.digest.remove(node)
         self._failure_detector.forgets(node)
         if endpoint is not None:
             self._subsets[endpoint.service].remove(endpoint)
--- a/mesh/proxy/forwarder.py
+++ b/mesh/proxy/forwarder.py
@@ -232,7 +232,7 @@
     @staticmethod
     def _goes_on(now: float, request: PendingRequest, error: ErrorKind) -> bool:
         """Whether another server may be offered a request after this error."""
-        attempts = request.route.attempts
+        attempts = request.route.max_attempts
         harmless = error in PROMISES or (request.repeatable and error == ErrorKind.BROKEN)
         left = len(request.tried) < max(MOST_OFFERS, attempts) and request.arrivals < attempts
         early = error == ErrorKind.BROKEN or now < request.offered_until
@@ -245,7 +245,7 @@
         if offer is None:
             return
         request, now = offer.request, self._context.now()
-        only_one = request.open_offers == 1 and request.arrivals + 1 < request.route.attempts
+        only_one = request.open_offers == 1 and request.arrivals + 1 < request.route.max_attempts
         if not request.repeatable or not only_one or request.finished or len(request.tried) >= MOST_OFFERS:
             return
         if now < request.deadline - NETWORK_MARGIN_S and self._may_retry(now, request):
--- a/mesh/proxy/ingress.py
+++ b/mesh/proxy/ingress.py
@@ -39,7 +39,7 @@
             return
         route = self._route(message)
         if route is None:
-            has_routes = bool(self._control.table.hosts)
+            has_routes = bool(self._control.table.routes_by_host)
             forwarder.answer_error(message, ErrorKind.NO_ROUTE if has_routes else ErrorKind.NO_SERVER)
             return
         parsed = self._parse(message, route)
@@ -56,15 +56,15 @@
 
     def _parse(self, message: Request, route: Route) -> Result[PendingRequest, ErrorKind]:
         """Returns a request with its deadlines, or the error if it can't be accepted."""
-        remaining_s, age_s = route.timeout, 0.0
+        remaining_s, age_s = route.timeout_s, 0.0
         header = message.header(b"x-deadline-ms")
         if header is not None:
             timeout_s = _parse_milliseconds(header)
             if timeout_s is None:
                 return Error(ErrorKind.BAD)
             remaining_s = min(remaining_s, timeout_s)
-            age_s = self._ages_of(route).age(timeout_s, route.timeout)
-        if len(message.body) > self._control.table.limits.body:
+            age_s = self._ages_of(route).age(timeout_s, route.timeout_s)
+        if len(message.body) > self._control.table.limits.max_body_bytes:
             return Error(ErrorKind.TOO_LARGE)
         now = self._context.now()
         remaining_s = min(remaining_s, self._context.ends_at - now)
@@ -75,10 +75,10 @@
                 service=self._split.choose(route),
                 started_at=now,
                 deadline=now + remaining_s,
-                target_at=now + min(route.aim, remaining_s),
+                target_at=now + min(route.target_s, remaining_s),
                 offered_until=now + remaining_s * OFFER_FRACTION,
                 is_retry=age_s > RETRY_AGE_S,
-                past_target=age_s >= route.aim,
+                past_target=age_s >= route.target_s,
             )
         )
 
--- a/mesh/proxy/sidecar.py
+++ b/mesh/proxy/sidecar.py
@@ -133,7 +133,9 @@
         await open_server(settings.control, self.beats.serve, None, most)
         await open_server(settings.ready, self.readiness, None, most)
         record = self.beats.record()
-        self.directory.digest.take(record.node, record.incarnation, record.number)  # controllers will hold it
+        self.directory.digest.update(
+            record.node, record.incarnation, record.number
+        )  # controllers will hold it
         self.control.start()
         logger.info("sidecar listens")
 
@@ -175,7 +177,7 @@
         if message.target.partition(b"?")[0] != b"/-/readiness":
             message.answer(404)
             return
-        serves = bool(self.control.table.hosts) and self.directory.any_known
+        serves = bool(self.control.table.routes_by_host) and self.directory.any_known
         message.answer(200 if serves and not self.context.leaving else 503)
 
     # --- news
@@ -210,7 +212,9 @@
             queue.update_limits(cluster.max_conns)
             if not queue.instance and not self._probed:
                 self._probed = True
-                queue.probe(cluster.health, self.beats.adopt_instance)
+                queue.probe(cluster.health_path, self.beats.adopt_instance)
         if self._outbound is not None:
             limits = table.limits
-            self._outbound.update_limits(limits.head, limits.body, limits.head_s, limits.idle_s)
+            self._outbound.update_limits(
+                limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout_s, limits.idle_timeout_s
+            )
--- a/mesh/state/configuration.py
+++ b/mesh/state/configuration.py
@@ -31,7 +31,7 @@
     version: int
     content: str = ""
 
-    def beats(self, other: Item | None) -> bool:
+    def supersedes(self, other: Item | None) -> bool:
         """Whether it wins over another of its name."""
         return other is None or (self.version, self.content) > (other.version, other.content)
 
@@ -44,7 +44,7 @@
     """Both; commutes, associates, and a repeat does nothing."""
     best: dict[str, Item] = {}
     for item in news:
-        if item.beats(best.get(item.name, items.get(item.name))):
+        if item.supersedes(best.get(item.name, items.get(item.name))):
             best[item.name] = item
     return items.update(best) if best else items
 
@@ -56,7 +56,7 @@
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def change(items: Items, call: Iterable[Item]) -> Result[tuple[Item, ...], str]:
+def validate_change(items: Items, call: Iterable[Item]) -> Result[tuple[Item, ...], str]:
     """What of an operator's call has an effect on what stands, or why it is invalid there.
 
     A version that is lower than what stands has no effect, and neither has the same item once more. Another
@@ -73,7 +73,7 @@
         return Error("; ".join(sorted(other)))
     news = tuple(item for item in rows if item.name not in items or item.version > items[item.name].version)
     names = {item.name for item in news}
-    wrong = table(items.update({item.name: item for item in news}))[1]
+    wrong = build_table(items.update({item.name: item for item in news}))[1]
     clashes = [clash.text for clash in wrong if clash.names & names]
     return Error("; ".join(sorted(clashes))) if clashes else Ok(news)
 
@@ -130,7 +130,7 @@
     raise ValueError(f"{text} is no JSON")
 
 
-def read(body: bytes) -> Result[tuple[Item, ...], str]:
+def parse_change(body: bytes) -> Result[tuple[Item, ...], str]:
     """The items of an operator's call, or why it can't be read whole. Each item's own shape is checked."""
     try:
         raw = json.loads(body, parse_constant=_no_number)
@@ -144,12 +144,12 @@
         for item in _sets(upserts):
             if item.name in found:
                 raise ValueError(f"{item.name} is there twice")
-            build(item)
+            parse_item(item)
             found[item.name] = item
         for key, kind in (("route_list", "route"), ("service_list", "service")):
             for dropped in _lists(removals, key):
                 item = Item(f"{kind}/{_named(dropped)}", version(dropped.get("revision")))
-                if item.beats(found.get(item.name)):
+                if item.supersedes(found.get(item.name)):
                     found[item.name] = item
     except (ValueError, RecursionError) as error:
         return Error(str(error))
@@ -167,9 +167,9 @@
     prefix: str
     variant: str
     targets: tuple[tuple[str, float], ...]  # services, and the running sum of their weights
-    timeout: float
-    aim: float
-    attempts: int
+    timeout_s: float
+    target_s: float
+    max_attempts: int
     priority: int
 
 
@@ -177,7 +177,7 @@
     """One service."""
 
     name: str
-    health: str
+    health_path: str
     max_conns: int
     dedupes: bool
 
@@ -185,10 +185,10 @@
 class Limits(NamedTuple):
     """What a client may send, and how long it may take."""
 
-    head: int = 16 * 1024
-    body: int = 48 << 20
-    head_s: float = 3.0
-    idle_s: float = 15.0
+    max_header_bytes: int = 16 * 1024
+    max_body_bytes: int = 48 << 20
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 def _weight(value: Any) -> float:
@@ -203,7 +203,7 @@
     return int(value)
 
 
-def build(item: Item) -> Route | Cluster | Limits:
+def parse_item(item: Item) -> Route | Cluster | Limits:
     """What an item says; ValueError where it can't be."""
     raw = json.loads(item.content)
     if item.name == "limit":
@@ -261,38 +261,38 @@
     )
 
 
-class Table(NamedTuple):
+class RoutingTable(NamedTuple):
     """What stands in force: an immutable snapshot, swapped whole."""
 
-    hosts: Mapping[str, tuple[tuple[str, Route], ...]]  # by host, the longest prefix first
+    routes_by_host: Mapping[str, tuple[tuple[str, Route], ...]]  # by host, the longest prefix first
     clusters: Mapping[str, Cluster]
     limits: Limits
 
     def route(self, host: str, path: str) -> Route | None:
         """The route of the longest prefix that begins the path."""
-        for prefix, route in self.hosts.get(host, ()):
+        for prefix, route in self.routes_by_host.get(host, ()):
             if path.startswith(prefix):
                 return route
         return None
 
 
-NOTHING = Table({}, {}, Limits())
+EMPTY_TABLE = RoutingTable({}, {}, Limits())
 _built: dict[Item, Route | Cluster | Limits] = {}
 
 
-class Clash(NamedTuple):
+class Conflict(NamedTuple):
     """Why a route is held out of force, and the items that it is about."""
 
     names: frozenset[str]
     text: str
 
 
-def table(items: Items) -> tuple[Table, list[Clash]]:
+def build_table(items: Items) -> tuple[RoutingTable, list[Conflict]]:
     """The snapshot that items make, and what of them is held out, as two at one place or of no service."""
     hosts: dict[str, dict[str, Route]] = {}
     clusters: dict[str, Cluster] = {}
     limits = Limits()
-    wrong: list[Clash] = []
+    wrong: list[Conflict] = []
     routes: list[Route] = []
     if len(_built) > 4 * len(items) + 64:
         _built.clear()
@@ -301,7 +301,7 @@
             continue
         made = _built.get(item)
         if made is None:
-            made = _built[item] = build(item)
+            made = _built[item] = parse_item(item)
         if isinstance(made, Cluster):
             clusters[made.name] = made
         elif isinstance(made, Limits):
@@ -312,16 +312,16 @@
         missing = [name for name, _ in route.targets if name not in clusters]
         if missing:
             about = frozenset((f"route/{route.name}", f"service/{missing[0]}"))
-            wrong.append(Clash(about, f"route {route.name} names the unknown service {missing[0]}"))
+            wrong.append(Conflict(about, f"route {route.name} names the unknown service {missing[0]}"))
             continue
         other = hosts.setdefault(route.host, {}).setdefault(route.prefix, route)
         if other is not route:
             about = frozenset((f"route/{route.name}", f"route/{other.name}"))
-            wrong.append(Clash(about, f"routes {other.name} and {route.name} share host and prefix"))
+            wrong.append(Conflict(about, f"routes {other.name} and {route.name} share host and prefix"))
     sorted_hosts = {
         host: tuple(sorted(found.items(), key=lambda pair: -len(pair[0]))) for host, found in hosts.items()
     }
-    return Table(sorted_hosts, clusters, limits), wrong
+    return RoutingTable(sorted_hosts, clusters, limits), wrong
 
 
 def whole(items: Items) -> bytes:
--- a/mesh/state/distribution.py
+++ b/mesh/state/distribution.py
@@ -5,7 +5,7 @@
 other controller tells eight bytes, the digest of all that it may tell (`Digest`). Who finds that a
 controller's digest is not its own, and does not hear the difference from the controller it follows, asks that
 one for what it lacks (`Pull`). So a controller that is frozen, cut off or behind costs its followers
-`LOOK_S`, not their configuration. No I/O; times are seconds of a steady clock.
+`PULL_DELAY_S`, not their configuration. No I/O; times are seconds of a steady clock.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from mesh.state.configuration import Item, Items
 
 BUCKETS = 64  # of a copy's digest: what differs is told by bucket
-LOOK_S = 0.15  # how long a sidecar waits for its own controller before it asks another that knows more
+PULL_DELAY_S = 0.15  # how long a sidecar waits for its own controller before it asks another that knows more
 MOST_LOOK_S = 0.6  # at most so long, also where its own controller says something all the time
-RECORDS_WAIT_S = 0.8  # how long records that another controller holds may be on their way
+RECORDS_PULL_DELAY_S = 0.8  # how long records that another controller holds may be on their way
 MOST_RECORDS_WAIT_S = 4.0
 STANDS_PART = 0.9  # of that time: timers fire late, never early
 RECORDS_PAUSE_S = 2.0  # between two questions for all records
-PULL_S = 1.0  # how long the answer of the one that was asked is waited for
+PULL_TIMEOUT_S = 1.0  # how long the answer of the one that was asked is waited for
 
 
-class Copy:
+class ConfigurationCopy:
     """Items as they stand at one place, their digest, and that of each bucket of names."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._buckets = [0] * BUCKETS
         self._names: list[dict[str, None]] = [{} for _ in range(BUCKETS)]
 
-    def take(self, news: Iterable[Item]) -> list[Item]:
+    def merge(self, news: Iterable[Item]) -> list[Item]:
         """Merge; what of it is news here."""
         rows = list(news)
         before, self.items = self.items, configuration.merge(self.items, rows)
@@ -53,7 +53,7 @@
                 found.append(item)
         return found
 
-    def packed_buckets(self) -> bytes:
+    def bucket_digests(self) -> bytes:
         """The digest of each bucket, eight bytes each: so much goes over a link where copies are compared,
         however many items there are."""
         return b"".join(digest.to_bytes(8, "big") for digest in self._buckets)
@@ -82,13 +82,13 @@
         self.value = 0
         self._marks: dict[str, int] = {}  # by node
 
-    def take(self, node: str, life: int, number: int) -> None:
+    def update(self, node: str, life: int, number: int) -> None:
         """That record stands for a node now."""
-        self.drop(node)
+        self.remove(node)
         self._marks[node] = record_mark(node, life, number)
         self.value ^= self._marks[node]
 
-    def drop(self, node: str) -> None:
+    def remove(self, node: str) -> None:
         """Nothing is known of a node any more."""
         self.value ^= self._marks.pop(node, 0)
 
@@ -99,7 +99,7 @@
     The one that it follows tells it each record that is news; the others tell a digest. Who is cut off from
     the one that is followed, and known to another, is found by this. While records change everywhere two
     digests of one moment are hardly ever at hand, so it is looked again until both have stood for
-    `RECORDS_WAIT_S`, or a difference has lasted for `MOST_RECORDS_WAIT_S`.
+    `RECORDS_PULL_DELAY_S`, or a difference has lasted for `MOST_RECORDS_WAIT_S`.
     """
 
     def __init__(self) -> None:
@@ -109,8 +109,8 @@
         self._mine, self._mine_at = 0, 0.0  # the own digest, and since when
         self._asked_at = -RECORDS_PAUSE_S
 
-    def told(self, now: float, controller: str, digest: int, mine: int) -> bool:
-        """A controller's digest has come; whether to look again after `RECORDS_WAIT_S`."""
+    def on_digest(self, now: float, controller: str, digest: int, mine: int) -> bool:
+        """A controller's digest has come; whether to look again after `RECORDS_PULL_DELAY_S`."""
         self._told[controller] = digest, now
         self._note(now, mine)
         if digest == mine:
@@ -124,20 +124,20 @@
         if mine != self._mine:
             self._mine, self._mine_at = mine, now
 
-    def down(self, controller: str) -> None:
+    def on_disconnect(self, controller: str) -> None:
         """The connection to a controller has ended."""
         self._told.pop(controller, None)
         self._asked.pop(controller, None)
         self._differs.pop(controller, None)
 
-    def lacks(self, now: float, controller: str, mine: int) -> bool | None:
-        """Whether to ask it; None where to look again after `RECORDS_WAIT_S`."""
+    def should_pull(self, now: float, controller: str, mine: int) -> bool | None:
+        """Whether to ask it; None where to look again after `RECORDS_PULL_DELAY_S`."""
         self._note(now, mine)
         told, told_at = self._told.get(controller, (mine, now))
         if told == mine or self._asked.get(controller) == (told, mine):
             self._differs.pop(controller, None)
             return False
-        moves = now < max(told_at, self._mine_at) + STANDS_PART * RECORDS_WAIT_S
+        moves = now < max(told_at, self._mine_at) + STANDS_PART * RECORDS_PULL_DELAY_S
         lasts = now >= self._differs.get(controller, now) + MOST_RECORDS_WAIT_S
         if (moves and not lasts) or now < self._asked_at + RECORDS_PAUSE_S:
             return None
@@ -146,7 +146,7 @@
         return True
 
 
-class Following:
+class ControllerSelector:
     """One sidecar's choice of whom to follow, and of when to ask another."""
 
     def __init__(self, me: str, zone: str) -> None:
@@ -158,7 +158,7 @@
         self._until = 0.0  # an answer is waited for
         self._outdated: set[str] = set()  # controllers that said that they are out of contact with a majority
 
-    def current(self, controller: str, yes: bool) -> None:
+    def set_in_contact(self, controller: str, yes: bool) -> None:
         """A controller says whether it is in contact with a majority: one that is not is neither followed nor
         asked, as what it has may be old."""
         (self._outdated.discard if yes else self._outdated.add)(controller)
@@ -182,29 +182,29 @@
         self.controller = best
         return best
 
-    def told(self, now: float, controller: str, digest: int, mine: int) -> bool:
-        """A controller's digest has come; whether to look again after `LOOK_S`."""
+    def on_digest(self, now: float, controller: str, digest: int, mine: int) -> bool:
+        """A controller's digest has come; whether to look again after `PULL_DELAY_S`."""
         self._told[controller] = digest, now
         return digest not in (mine, 0)
 
-    def lacks(self, now: float, controller: str, mine: int, heard_at: float) -> bool | None:
+    def should_pull(self, now: float, controller: str, mine: int, heard_at: float) -> bool | None:
         """Whether to ask a controller for what is lacking; None where to look again later. `heard_at`: when
         the controller that is followed said anything last, as it may still be telling it."""
         told, since = self._told.get(controller, (0, now))
         if controller in self._outdated or told in (mine, 0) or self._asked.get(controller) == (told, mine):
             return False
-        speaks = now - heard_at < LOOK_S / 2 and now - since < MOST_LOOK_S
+        speaks = now - heard_at < PULL_DELAY_S / 2 and now - since < MOST_LOOK_S
         if now < self._until or speaks:
             return None
         self._asked[controller] = told, mine
-        self._until = now + PULL_S
+        self._until = now + PULL_TIMEOUT_S
         return True
 
-    def answered(self) -> None:
+    def on_pull_answered(self) -> None:
         """What was asked for has come."""
         self._until = 0.0
 
-    def down(self, controller: str) -> None:
+    def on_disconnect(self, controller: str) -> None:
         """The connection to a controller has ended."""
         self._told.pop(controller, None)
         self._asked.pop(controller, None)
--- a/tests/mesh/calls_world.py
+++ b/tests/mesh/calls_world.py
@@ -17,7 +17,7 @@
 import httptools
 from fake_machines import End, Machine, Process
 from mesh_world import DAY, World
-from operator_calls import Broken
+from operator_calls import InvariantViolation
 
 from hollyport.guests.listener import Listener
 from mesh import settings
@@ -58,7 +58,7 @@
     }
 
 
-ITEMS = configuration.read(
+ITEMS = configuration.parse_change(
     json.dumps(
         {
             "upserts": {
@@ -181,7 +181,7 @@
 
     def on_message_complete(self) -> None:
         if self.status:
-            raise Broken(f"{self.name} was answered twice")
+            raise InvariantViolation(f"{self.name} was answered twice")
         self.status, self.answered_at = self._parser.get_status_code(), self._world.now
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/tests/mesh/fake_machines.py
+++ b/tests/mesh/fake_machines.py
@@ -37,7 +37,7 @@
 SIGNS_OF_LIFE = BEATS | {kind_of(messages.Ping), kind_of(messages.Pong)}
 
 
-def word(packed: bytes) -> int:
+def message_kind(packed: bytes) -> int:
     """The kind of a packed message: the first entry of its list."""
     return packed[6] if packed[5] == 24 else packed[5]
 
@@ -152,7 +152,7 @@
             at += size
 
     def _ship(self, packed: bytes | None) -> None:
-        if packed is not None and word(packed) in TELLS:
+        if packed is not None and message_kind(packed) in TELLS:
             self.world.told(self.process, cbor2.loads(packed[4:]))
         self._last = max(self._last, self.world.now + self.world.delay())
         self._way.append((self._last, packed))
@@ -184,7 +184,7 @@
 
     def _counts(self, packed: bytes) -> bool:
         """Whether a fault may strike where this arrives."""
-        return word(packed) not in SIGNS_OF_LIFE
+        return message_kind(packed) not in SIGNS_OF_LIFE
 
     def _deliver(self, other: End, packed: bytes) -> None:
         """One message arrives, perhaps twice, or behind others."""
@@ -376,7 +376,7 @@
 
     def info(self, text: str, *values: Any, **fields: Any) -> None:
         host = asyncio.get_running_loop().process.host  # type: ignore[attr-defined]
-        self._world.said.append((self._world.points, host, text))
+        self._world.log_lines.append((self._world.points, host, text))
 
     warning = info
 
--- a/tests/mesh/mesh_world.py
+++ b/tests/mesh/mesh_world.py
@@ -27,10 +27,10 @@
     Nothing,
     Process,
     Store,
+    message_kind,
     open_http_server,
-    word,
 )
-from operator_calls import Broken
+from operator_calls import InvariantViolation
 
 from hollyport.http.message import Message
 from mesh import settings
@@ -107,7 +107,7 @@
         self.processes: list[Process] = []
         self.machines: dict[str, Machine] = {}
         self.points = self.story = 0  # all so far; those up to the end of the play's first part
-        self.strikes: dict[int, Callable[[str], None]] = {}
+        self.faults_at: dict[int, Callable[[str], None]] = {}
         self.delay_s = (0.001, 0.004)
         self.sync_s = (0.002, 0.006)
         self.spoil: Callable[[bytes], bytes] = lambda packed: packed  # what becomes of a message on its way
@@ -117,8 +117,8 @@
         self.acked_at: list[tuple[float, Item]] = []
         self.keys: dict[str, Key] = {}
         self.tokens: dict[str, str] = {}  # the key that each is for
-        self.said: list[tuple[int, str, str]] = []
-        self.sets: dict[int, tuple[str, ...]] = {}  # by epoch: the voters that anybody believed in
+        self.log_lines: list[tuple[int, str, str]] = []
+        self.voter_sets: dict[int, tuple[str, ...]] = {}  # by epoch: the voters that anybody believed in
         self._told = {"bounds": bounds, "losses": losses}
         self.controllers = [f"10.0.0.{1 + at}" for at in range(size)]
         self.spares = [f"10.0.0.{1 + size + at}" for at in range(spares)]
@@ -187,7 +187,7 @@
                     process.loop.turn()
                     turned = True
             if self.errors:
-                raise Broken(self.errors[0])
+                raise InvariantViolation(self.errors[0])
             if turned:
                 continue
             due = min([process.loop.due() for process in self.processes if not process.frozen])
@@ -254,7 +254,7 @@
         process = self.machines[name].process
         return process.role if process is not None and process.alive else None
 
-    def counting(self) -> list[str]:
+    def caught_up_controllers(self) -> list[str]:
         """Controllers that know the voters and count."""
         found = [(name, self.controller(name)) for name in self.controllers + self.spares]
         return [
@@ -268,7 +268,7 @@
     def point(self, at: Process, by: Process) -> None:
         """One more place where a fault may strike."""
         self.points += 1
-        strike = self.strikes.pop(self.points, None)
+        strike = self.faults_at.pop(self.points, None)
         if strike is not None:
             names = self.controllers + self.spares
             name = at.host if at.host in names else by.host
@@ -358,7 +358,7 @@
 
     def mess(self, packed: bytes) -> tuple[bool, bool]:
         """Whether a message comes once more, and whether it comes out of its order."""
-        if word(packed) not in self.messed:
+        if message_kind(packed) not in self.messed:
             return False, False
         draw = self.random.random()
         return draw < 0.2, 0.1 < draw < 0.3
@@ -366,7 +366,7 @@
     # --- rules that are looked at as it runs
 
     def heard(self, process: Process, by: Process, packed: bytes) -> None:
-        kind = word(packed)
+        kind = message_kind(packed)
         if kind not in process.heard or not process.wiped:
             return
         message = messages.decode(cbor2.loads(packed[4:]))
@@ -377,7 +377,7 @@
     def told(self, process: Process, message: list[Any]) -> None:
         """A controller tells something that only one that counts may tell."""
         kind = message[0]
-        self.believed(process.role.voters)
+        self.check_voters(process.role.voters)
         if kind == kind_of(messages.ClaimAnswer) and message[2] == 1:
             key = self._key_of(process, message)
             if key is not None:
@@ -392,16 +392,18 @@
         if yes and process.wiped:
             # Whole in an epoch by as many as were to be heard in it, or in one before that it follows.
             until = max(1, process.role.context.member.whole)
-            need = min((Voters(*told).read for told in self.sets.items() if told[0] <= until), default=1)
+            need = min(
+                (Voters(*told).read for told in self.voter_sets.items() if told[0] <= until), default=1
+            )
             few = [messages.KINDS[kind].__name__ for kind, by in process.heard.items() if len(by) < need]
             if few or not process.role.voters.epoch:
                 self.errors.append(f"{process.name}, wiped, tells {message} before it has recovered: {few}")
             self._whole(process)
 
-    def believed(self, voters: Voters) -> None:
+    def check_voters(self, voters: Voters) -> None:
         """Of one epoch there is one set."""
-        if voters.epoch and self.sets.setdefault(voters.epoch, voters.names) != voters.names:
-            self.errors.append(f"{voters} beside {self.sets[voters.epoch]}")
+        if voters.epoch and self.voter_sets.setdefault(voters.epoch, voters.names) != voters.names:
+            self.errors.append(f"{voters} beside {self.voter_sets[voters.epoch]}")
 
     def _key_of(self, process: Process, message: list[Any]) -> Key | None:
         name = self.tokens.get(message[3])
@@ -410,7 +412,7 @@
     def _whole(self, process: Process) -> None:
         """A wiped controller that counts has all that was acknowledged before it began: among its items, or
         as a change that it has accepted in the place of those who had."""
-        open_ = process.role.agreement.replica.open
+        open_ = process.role.agreement.replica.open_draft
         drafted = {item.name: item for item in open_.items} if open_ is not None else {}
         for when, item in self.acked_at:
             mine = drafted.get(item.name) or process.role.items.get(item.name)
@@ -451,7 +453,7 @@
                 self.after(self.delay(), lambda: heard.done() or heard.set_result((status, answer)))
 
         if method == b"PATCH":
-            for item in configuration.read(body).ok:
+            for item in configuration.parse_change(body).ok:
                 if item not in self.sent.setdefault(item.name, []):
                     self.sent[item.name].append(item)
         self.call(name, method, body, then)
@@ -466,7 +468,7 @@
         return answer
 
     def _acknowledge(self, body: bytes) -> None:
-        for item in configuration.read(body).ok:
+        for item in configuration.parse_change(body).ok:
             self.acked.setdefault(item.name, []).append(item)
             self.acked_at.append((self.now, item))
 
--- a/tests/mesh/operator_calls.py
+++ b/tests/mesh/operator_calls.py
@@ -13,7 +13,7 @@
     from mesh_world import World
 
 
-class Broken(AssertionError):
+class InvariantViolation(AssertionError):
     """A rule that did not hold."""
 
 
@@ -56,7 +56,8 @@
 def contents(body: bytes) -> dict[str, Item]:
     """What GET answered, as items."""
     return {
-        item.name: item for item in configuration.read(json.dumps({"upserts": json.loads(body)}).encode()).ok
+        item.name: item
+        for item in configuration.parse_change(json.dumps({"upserts": json.loads(body)}).encode()).ok
     }
 
 
@@ -68,14 +69,20 @@
         newest = max(items, key=lambda item: item.version)
         same = {item for item in items if item.version == newest.version}
         if len(same) > 1:
-            raise Broken(f"two contents of {name} r{newest.version} were acknowledged")
+            raise InvariantViolation(f"two contents of {name} r{newest.version} were acknowledged")
         if name in there and there[name] == newest.version and stands[name] != newest:
-            raise Broken(f"{name} r{newest.version} was acknowledged, and another content is read back")
+            raise InvariantViolation(
+                f"{name} r{newest.version} was acknowledged, and another content is read back"
+            )
         later = [item for item in world.sent[name] if item.version >= newest.version]
         dropped = any(not item.content for item in later)
         if name in there and there[name] < newest.version:
-            raise Broken(f"{name} r{newest.version} was acknowledged, and r{there[name]} is read back")
+            raise InvariantViolation(
+                f"{name} r{newest.version} was acknowledged, and r{there[name]} is read back"
+            )
         if name not in there and not dropped:
-            raise Broken(f"{name} r{newest.version} was acknowledged, and is not read back")
+            raise InvariantViolation(f"{name} r{newest.version} was acknowledged, and is not read back")
         if name in there and there[name] not in {item.version for item in later if item.content}:
-            raise Broken(f"{name} r{newest.version} was acknowledged as dropped, and is read back")
+            raise InvariantViolation(
+                f"{name} r{newest.version} was acknowledged as dropped, and is read back"
+            )
--- a/tests/mesh/test_mesh_api.py
+++ b/tests/mesh/test_mesh_api.py
@@ -42,7 +42,7 @@
 STRANGE = ("/", "/-/", "/-/other", "/-/config/x", "/-/instances", "/-/readiness/")
 
 
-class Ear:
+class ResponseRecorder:
     """Hears the one answer to a request."""
 
     def __init__(self) -> None:
@@ -76,9 +76,11 @@
     return made
 
 
-async def call(serve: Callable[[Message], None], method: str, path: str, body: Any = None) -> Ear:
+async def call(
+    serve: Callable[[Message], None], method: str, path: str, body: Any = None
+) -> ResponseRecorder:
     """One request through a role's own dispatch."""
-    ear = Ear()
+    ear = ResponseRecorder()
     message = Message(ear)  # type: ignore[arg-type]
     message.method, message.target = method.upper().encode(), path.encode()
     message.body = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
@@ -128,7 +130,7 @@
         assert set(operation["x-door"].items()) <= known
 
 
-def said(path: str, method: str, ear: Ear) -> int:
+def said(path: str, method: str, ear: ResponseRecorder) -> int:
     """An answer's status, once it is one that the file tells, with its headers and its body."""
     entry = FILE["paths"][path][method]["responses"][str(ear.status)]
     headers = dict(ear.headers)
@@ -142,11 +144,13 @@
 
 
 def test_every_answer_that_the_file_tells_is_given(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_api, "ROUND_S", 0.0)
+    monkeypatch.setattr(admin_api, "ROUND_TIMEOUT_S", 0.0)
     monkeypatch.setattr(admin_api, "ANSWER_S", 0.0)
     seen: dict[tuple[str, str], set[int]] = {(path, method): set() for path, method, _ in OPERATIONS}
 
-    async def ask(serve: Callable[[Message], None], method: str, path: str, body: Any = None) -> Ear:
+    async def ask(
+        serve: Callable[[Message], None], method: str, path: str, body: Any = None
+    ) -> ResponseRecorder:
         ear = await call(serve, method, path.replace("{id}", "i-1"), body)
         seen[path, method].add(said(path, method, ear))
         return ear
@@ -180,7 +184,7 @@
         assert (await ask(make_controller(()).api.serve, "get", "/-/readiness")).status == 503
         sidecar = Sidecar(settings.read(SETTINGS).ok)
         await ask(sidecar.readiness, "get", "/-/readiness")
-        sidecar.control.take_items(configuration.read(json.dumps(CHANGE).encode()).ok)
+        sidecar.control.take_items(configuration.parse_change(json.dumps(CHANGE).encode()).ok)
         await ask(sidecar.beats.serve, "put", instance, BEAT)
         assert (await ask(sidecar.readiness, "get", "/-/readiness")).status == 200
         await ask(sidecar.beats.serve, "put", instance, {**BEAT, "call_seq": 1})
@@ -230,7 +234,7 @@
 
 
 def taken(change: Any) -> bool:
-    return bool(configuration.read(json.dumps(change).encode()).is_ok())
+    return bool(configuration.parse_change(json.dumps(change).encode()).is_ok())
 
 
 PLACES = list(places({"$ref": "#/components/schemas/Change"}, CHANGE))
--- a/tests/mesh/test_mesh_calls.py
+++ b/tests/mesh/test_mesh_calls.py
@@ -8,7 +8,7 @@
 
 import pytest
 from calls_world import BODY, DEADLINE_S, SLACK_S, CallsWorld
-from operator_calls import Broken
+from operator_calls import InvariantViolation
 
 from mesh.errors import ErrorKind
 from mesh.proxy.forwarder import Forwarder
@@ -110,7 +110,7 @@
         world.start()
         task = world.operator.run(scenario())
         if not world.run(30.0, task.done):
-            raise Broken("the scenario does not end")
+            raise InvariantViolation("the scenario does not end")
         task.result()
         _check_rules(world, faulted_hosts)
         return world.points
@@ -119,20 +119,22 @@
 def _check_rules(world: CallsWorld, faulted_hosts: list[str]) -> None:
     """Checks all rules after the end of a scenario."""
     for violation in world.violations():
-        raise Broken(violation)
+        raise InvariantViolation(violation)
     caller_unharmed = world.caller not in faulted_hosts
     limit_s = DEADLINE_S + SLACK_S + (0.0 if caller_unharmed else FROZEN_S)
     for request in world.requests:
         if request.ended and caller_unharmed:
-            raise Broken(f"{request.name} got no answer from a sidecar without a fault")
+            raise InvariantViolation(f"{request.name} got no answer from a sidecar without a fault")
         if request.status and request.answered_at - request.sent_at > limit_s:
-            raise Broken(f"{request.name} was answered after {request.answered_at - request.sent_at:.2f} s")
+            raise InvariantViolation(
+                f"{request.name} was answered after {request.answered_at - request.sent_at:.2f} s"
+            )
         if not request.status and not request.ended:
-            raise Broken(f"{request.name} waits forever")
+            raise InvariantViolation(f"{request.name} waits forever")
     for name in world.sidecars:
         role = world.controller(name)
         if role is not None and (role.context.open_requests or role.context.open_calls):
-            raise Broken(f"{name} still counts open calls")
+            raise InvariantViolation(f"{name} still counts open calls")
 
 
 def test_without_a_fault_each_call_runs_once_and_is_answered() -> None:
@@ -153,7 +155,7 @@
         for at in range(1, run_scenario(0) + 1):
             try:
                 run_scenario(0, fault, at)
-            except Broken:
+            except InvariantViolation:
                 return True
     return False
 
--- a/tests/mesh/test_mesh_catch_up.py
+++ b/tests/mesh/test_mesh_catch_up.py
@@ -9,7 +9,7 @@
 import cbor2
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, read_back, route, service
+from operator_calls import InvariantViolation, change, read_back, route, service
 from test_mesh_faults import until
 
 from mesh.control.controller import Controller
@@ -33,13 +33,13 @@
         world.start()
         task = world.operator.run(story(world))
         if not world.run(200.0, task.done):
-            raise Broken("a play has no end")
+            raise InvariantViolation("a play has no end")
         task.result()
     return world
 
 
 async def begun(world: World) -> None:
-    assert await until(lambda: len(world.counting()) == len(world.controllers))
+    assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
     routes = [route(f"r{at}", 1, f"/{at}/") for at in range(ROUTES)]
     assert await world.patch(0, change([service("berths", 1)], routes)) == 200
 
@@ -50,7 +50,7 @@
         at = version % ROUTES
         body = change((), [route(f"r{at}", version, f"/{at}/", timeout=f"{1 + version % 9}s")])
         if await world.patch(1 + version % 2, body) != 200:
-            raise Broken(f"r{version} was not taken")
+            raise InvariantViolation(f"r{version} was not taken")
         await asyncio.sleep(GAP_S)
 
 
@@ -73,7 +73,7 @@
     world.start_controller(name)
     more = asyncio.ensure_future(changing(world, 302, 200))
     if not await until(lambda: caught_up(world, name), CATCH_UP_S):
-        raise Broken("it has not caught up")
+        raise InvariantViolation("it has not caught up")
     assert not more.done(), "changes went on meanwhile"
     await more
     status, body = await world.ask(name, b"GET")
@@ -93,7 +93,7 @@
         return
 
     monkeypatch.setattr(Heartbeats, "_compare", never)
-    with pytest.raises(Broken, match="caught up"):
+    with pytest.raises(InvariantViolation, match="caught up"):
         play(World(seed=5), behind)
 
 
@@ -125,7 +125,7 @@
 
 def granted(role: Controller, count: int) -> None:
     """Have a controller hold so many grants with answers."""
-    now = role.context.wall()
+    now = role.context.wall_time()
     for number in range(count):
         role.grants.registry.claim(now, f"k{number}", f"t{number}", 30.0)
         role.grants.registry.done(now, f"k{number}", f"t{number}", [200, [], BODY])
@@ -155,13 +155,13 @@
         granted(role, MANY)
     sizes = parts_told(world)
     world.wipe(wiped, 0.01)
-    assert await until(lambda: world.counting() == world.controllers, 8.0)
+    assert await until(lambda: world.caught_up_controllers() == world.controllers, 8.0)
     role = world.controller(wiped)
     assert role is not None
     if len(role.grants.registry) != MANY:
-        raise Broken(f"{len(role.grants.registry)} of {MANY} grants came back")
+        raise InvariantViolation(f"{len(role.grants.registry)} of {MANY} grants came back")
     assert len(sizes) > 10 and max(sizes) < 1.5 * PART_BYTES
-    assert role.grants.registry.look(role.context.wall(), "k7").answer == [200, [], BODY]  # type: ignore[union-attr]
+    assert role.grants.registry.look(role.context.wall_time(), "k7").answer == [200, [], BODY]  # type: ignore[union-attr]
 
 
 def test_an_emptied_disk_fetches_thousands_of_grants_in_parts() -> None:
@@ -180,11 +180,11 @@
     world.wipe(wiped, 0.01)
     assert await until(lambda: len(sizes) >= 3)
     world.kill(others[0], 1.0)
-    assert await until(lambda: world.counting() == world.controllers, 8.0)
+    assert await until(lambda: world.caught_up_controllers() == world.controllers, 8.0)
     role = world.controller(wiped)
     assert role is not None
     if len(role.grants.registry) != MANY:
-        raise Broken(f"{len(role.grants.registry)} of {MANY} grants came back")
+        raise InvariantViolation(f"{len(role.grants.registry)} of {MANY} grants came back")
 
 
 def test_a_sender_that_dies_among_the_parts_costs_none() -> None:
@@ -202,5 +202,5 @@
         })  # fmt: skip
 
     monkeypatch.setattr(Recovery, "_fetch_part", only)
-    with pytest.raises(Broken, match="grants came back"):
+    with pytest.raises(InvariantViolation, match="grants came back"):
         play(World(seed=2), emptied)
--- a/tests/mesh/test_mesh_checksums.py
+++ b/tests/mesh/test_mesh_checksums.py
@@ -71,7 +71,7 @@
     assert "service/extra" not in scene.sidecar.items and not link.said, "neither taken nor acknowledged"
     ((wait_s, (ask, *told)),) = later
     ask(*told)
-    assert wait_s == control_client.PULL_S and link.said[0][0] == kind_of(Pull)
+    assert wait_s == control_client.PULL_TIMEOUT_S and link.said[0][0] == kind_of(Pull)
     scene.sidecar.control.hear_items(link, Items(2, (item,), checksum((item,))))
     assert scene.sidecar.items["service/extra"] == item
 
@@ -101,13 +101,13 @@
 @pytest.mark.parametrize("kind", [FetchAnswer, GrantsAnswer])
 def test_an_emptied_controller_is_whole_all_the_same_and_lacks_nothing(kind):
     async def story(world: World) -> None:
-        assert await until(lambda: len(world.counting()) == len(world.controllers))
+        assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
         assert await world.patch(0, change([service("berths", 1)])) == 200
         assert await claimed(world, world.sidecars[0], "key") == "RUN"
         spoilt = spoil(world, kind, 6)
         name = world.controllers[0]
         world.wipe(name, 0.01)
-        assert await until(lambda: name in world.counting(), 8.0)
+        assert await until(lambda: name in world.caught_up_controllers(), 8.0)
         assert len(spoilt) == 6
         role = world.controller(name)
         assert role is not None and "service/berths" in role.items and len(role.grants.registry)
@@ -117,7 +117,7 @@
 
 def test_an_order_of_a_revision_with_many_digits_reaches_sidecars_and_an_emptied_controller():
     async def story(world: World) -> None:
-        assert await until(lambda: len(world.counting()) == len(world.controllers))
+        assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
         version = 10**30
         assert await world.patch(0, change([service("berths", version)])) == 200
         roles = [world.machines[name].process.role for name in world.sidecars]
@@ -129,7 +129,7 @@
         assert await until(all_hold_it)
         name = world.controllers[0]
         world.wipe(name, 0.01)
-        assert await until(lambda: name in world.counting(), 4.0)
+        assert await until(lambda: name in world.caught_up_controllers(), 4.0)
         assert world.controller(name).items["service/berths"].version == version
 
     in_a_world(story)
--- a/tests/mesh/test_mesh_configuration.py
+++ b/tests/mesh/test_mesh_configuration.py
@@ -50,7 +50,7 @@
 
 
 def read(raw):
-    return configuration.read(json.dumps(raw).encode())
+    return configuration.parse_change(json.dumps(raw).encode())
 
 
 def items(*calls):
@@ -131,12 +131,12 @@
         "service/t": 1,
         "limit": 2,
     }
-    assert configuration.build(found["route/a"]) == Route(
+    assert configuration.parse_item(found["route/a"]) == Route(
         "a", "shop.test", "/a/", "pure", (("s", 3.0), ("t", 4.0)), 1.5, 0.3, 3, 2
     )
-    assert configuration.build(found["service/s"]) == Cluster("s", "/health", 9, True)
-    assert configuration.build(found["service/t"]) == Cluster("t", "/up", 64, False)
-    assert configuration.build(found["limit"]) == Limits(100, 48 << 20, 3.0, 4.0)
+    assert configuration.parse_item(found["service/s"]) == Cluster("s", "/health", 9, True)
+    assert configuration.parse_item(found["service/t"]) == Cluster("t", "/up", 64, False)
+    assert configuration.parse_item(found["limit"]) == Limits(100, 48 << 20, 3.0, 4.0)
 
 
 def test_drops_are_read_and_beat_only_what_is_older():
@@ -154,12 +154,12 @@
 @given(st.data())
 def test_a_call_cut_short_is_refused(data):
     body = json.dumps(call([rule("a")], [cluster("s")])).encode()
-    assert configuration.read(body[: data.draw(st.integers(0, len(body) - 1))]).is_error()
+    assert configuration.parse_change(body[: data.draw(st.integers(0, len(body) - 1))]).is_error()
 
 
 @given(st.binary(max_size=60))
 def test_no_bytes_at_all_raise(body):
-    configuration.read(body)
+    configuration.parse_change(body)
 
 
 JSON_VALUES = st.recursive(
@@ -202,8 +202,8 @@
     at[path[-1]] = value
     found = read(raw)
     if found.is_ok():
-        table, wrong = configuration.table(configuration.merge(EMPTY, found.ok))
-        assert len(wrong) <= 1 and len(table.hosts) <= 1
+        table, wrong = configuration.build_table(configuration.merge(EMPTY, found.ok))
+        assert len(wrong) <= 1 and len(table.routes_by_host) <= 1
 
 
 @pytest.mark.parametrize(
@@ -255,7 +255,7 @@
 
 
 def test_a_call_that_is_too_deep_is_refused():
-    assert configuration.read(b'{"upserts":' + b"[" * 200_000).is_error()
+    assert configuration.parse_change(b'{"upserts":' + b"[" * 200_000).is_error()
 
 
 # --- the table
@@ -265,7 +265,7 @@
     rules = [rule("b", "/x/"), rule("a", "/x/"), rule("c", "/x/"), rule("d", "/y/")]
     seen = []
     for order in itertools.permutations(rules):
-        table, wrong = configuration.table(
+        table, wrong = configuration.build_table(
             items(*(call([one]) for one in order), call(clusters=[cluster("s")]))
         )
         assert table.route("shop.test", "/x/1").name == "a"
@@ -278,12 +278,12 @@
 def test_a_route_of_an_unknown_service_is_held_out_and_takes_no_place():
     parts = [{"service": "s", "weight": 1}, {"service": "gone", "weight": 0}]
     raw = call([rule("a", effect=split(parts)), rule("b", "/")], [cluster("s")])
-    table, wrong = configuration.table(items(raw))
+    table, wrong = configuration.build_table(items(raw))
     assert table.route("shop.test", "/").name == "b"
     assert [clash.text for clash in wrong] == ["route a names the unknown service gone"]
     assert wrong[0].names == {"route/a", "service/gone"}
     drop = {"removals": {"service_list": [{"name": "s", "revision": "r2"}]}}
-    table, wrong = configuration.table(items(raw, drop))
+    table, wrong = configuration.build_table(items(raw, drop))
     assert table.route("shop.test", "/") is None and len(wrong) == 2
 
 
@@ -292,7 +292,7 @@
     st.sampled_from(["/", "/a", "/a/", "/a/b", "/a/b/c/d", "/a/bc/", "/abc", "/ab/c", "/b/a/"]),
 )
 def test_the_longest_prefix_wins(prefixes, path):
-    table, wrong = configuration.table(
+    table, wrong = configuration.build_table(
         items(call([rule(prefix, prefix) for prefix in prefixes], [cluster("s")]))
     )
     best = max((prefix for prefix in prefixes if path.startswith(prefix)), key=len)
@@ -303,27 +303,29 @@
 def test_a_change_is_what_is_newer_and_is_judged_by_what_it_touches():
     stands = items(call([rule("a", "/a/"), rule("old", "/o/", service="gone")], [cluster("s", "r5")]))
     again = read(call([rule("a", "/a/")], [cluster("s", "r4")])).ok
-    assert configuration.change(stands, again).ok == (), "the same item once more, and a lower version"
-    other = configuration.change(
+    assert configuration.validate_change(stands, again).ok == (), (
+        "the same item once more, and a lower version"
+    )
+    other = configuration.validate_change(
         stands, read(call([rule("a", "/z/"), rule("c", "/c/")], [cluster("s", "r4")])).ok
     )
     assert other.error == "route/a r1 stands with another content", "one version, one content"
-    dropped = configuration.change(
+    dropped = configuration.validate_change(
         stands, read({"removals": {"route_list": [{"name": "a", "revision": "r1"}]}}).ok
     )
     assert dropped.error == "route/a r1 stands with another content"
     news = read(call([rule("a", "/b/", revision="r2")], [cluster("s")])).ok
-    assert [item.name for item in configuration.change(stands, news).ok] == ["route/a"]
+    assert [item.name for item in configuration.validate_change(stands, news).ok] == ["route/a"]
     for clash, word in ((rule("b", "/a/"), "share"), (rule("b", "/b/", service="no"), "unknown")):
-        assert word in configuration.change(stands, read(call([clash])).ok).error
+        assert word in configuration.validate_change(stands, read(call([clash])).ok).error
     drop = {"removals": {"service_list": [{"name": "s", "revision": "r6"}]}}
-    assert "unknown service s" in configuration.change(stands, read(drop).ok).error
+    assert "unknown service s" in configuration.validate_change(stands, read(drop).ok).error
 
 
 def test_limits_are_as_set_or_the_defaults():
-    assert configuration.table(EMPTY)[0] == configuration.NOTHING
+    assert configuration.build_table(EMPTY)[0] == configuration.EMPTY_TABLE
     limit = {"revision": "r1", "max_body_bytes": 5, "header_timeout": "250ms"}
-    assert configuration.table(items({"upserts": {"limit_set": limit}}))[0].limits == Limits(
+    assert configuration.build_table(items({"upserts": {"limit_set": limit}}))[0].limits == Limits(
         16384, 5, 0.25, 15.0
     )
 
@@ -335,7 +337,7 @@
         {"upserts": {"limit_set": {"revision": "r4", "max_body_bytes": 9}}},
         {"removals": {"route_list": [{"name": "b", "revision": "r2"}]}},
     )
-    again = configuration.read(b'{"upserts":' + configuration.whole(made) + b"}")
+    again = configuration.parse_change(b'{"upserts":' + configuration.whole(made) + b"}")
     assert set(again.ok) == {item for item in made.values() if item.content}
     assert "route/b" in made and len(again.ok) == 5
-    assert set(configuration.read(b'{"upserts":' + configuration.whole(EMPTY) + b"}").ok) == set()
+    assert set(configuration.parse_change(b'{"upserts":' + configuration.whole(EMPTY) + b"}").ok) == set()
--- a/tests/mesh/test_mesh_distribution.py
+++ b/tests/mesh/test_mesh_distribution.py
@@ -14,11 +14,11 @@
 
 from mesh.state.configuration import Item
 from mesh.state.distribution import (
-    LOOK_S,
     MOST_RECORDS_WAIT_S,
+    PULL_DELAY_S,
     RECORDS_PAUSE_S,
-    Copy,
-    Following,
+    ConfigurationCopy,
+    ControllerSelector,
     RecordsComparison,
     RecordsDigest,
 )
@@ -31,47 +31,51 @@
 
 @given(st.lists(ITEMS), st.lists(ITEMS))
 def test_copies_of_the_same_items_have_one_digest_in_any_order(one, other):
-    here, there = Copy(), Copy()
+    here, there = ConfigurationCopy(), ConfigurationCopy()
     for items in (one, other):
-        here.take(items)
+        here.merge(items)
     for items in (other, one):
-        there.take(items)
+        there.merge(items)
     assert here.items == there.items and here.digest == there.digest
-    assert not here.differing(there.packed_buckets())
-    empty = Copy()
+    assert not here.differing(there.bucket_digests())
+    empty = ConfigurationCopy()
     assert empty.digest == 0 and bool(here.digest) == bool(here.items)
-    assert not empty.take([]) and {item.name for item in here.differing(empty.packed_buckets())} == set(
+    assert not empty.merge([]) and {item.name for item in here.differing(empty.bucket_digests())} == set(
         here.items
     )
 
 
 def test_the_own_zones_controller_is_followed_and_kept_while_it_is_there():
-    following = Following("me", "east")
+    following = ControllerSelector("me", "east")
     zones = {"far": "west", "near": "east", "next": "east"}
     assert following.choose(["far"], {"far": "west"}) == "far"
     found = following.choose(["far", "near"], zones)
     assert found == "near"
     assert following.choose(["far", "near", "next"], zones) is None  # no change without need
-    following.down("near")
+    following.on_disconnect("near")
     assert following.choose(["far", "next"], zones) == "next"
     assert following.choose([], zones) == ""
 
 
 def test_another_is_asked_once_for_what_the_followed_one_does_not_tell():
-    following = Following("me", "east")
+    following = ControllerSelector("me", "east")
     following.choose(["a", "b"], {"a": "east", "b": "west"})
-    assert not following.told(0.0, "b", 7, 7) and not following.told(0.0, "b", 0, 7)
-    assert following.told(1.0, "b", 9, 7)
-    assert following.lacks(1.1, "b", 7, heard_at=1.09) is None  # the followed one speaks: it may be coming
-    assert following.lacks(1.1 + LOOK_S, "b", 9, heard_at=1.0) is False  # it has come
-    assert following.lacks(1.1 + LOOK_S, "b", 7, heard_at=1.0) is True
-    assert following.lacks(1.3 + LOOK_S, "b", 7, heard_at=1.0) is False  # asked already, and nothing is new
-    following.told(1.4, "c", 11, 7)
-    assert following.lacks(1.4 + LOOK_S, "c", 7, heard_at=1.0) is None  # an answer is waited for
-    following.answered()
-    assert following.lacks(1.4 + LOOK_S, "c", 7, heard_at=1.0) is True
-    following.told(3.0, "b", 12, 7)
-    assert following.lacks(4.0, "b", 7, heard_at=4.0) is True  # it speaks all the time, and not of this
+    assert not following.on_digest(0.0, "b", 7, 7) and not following.on_digest(0.0, "b", 0, 7)
+    assert following.on_digest(1.0, "b", 9, 7)
+    assert (
+        following.should_pull(1.1, "b", 7, heard_at=1.09) is None
+    )  # the followed one speaks: it may be coming
+    assert following.should_pull(1.1 + PULL_DELAY_S, "b", 9, heard_at=1.0) is False  # it has come
+    assert following.should_pull(1.1 + PULL_DELAY_S, "b", 7, heard_at=1.0) is True
+    assert (
+        following.should_pull(1.3 + PULL_DELAY_S, "b", 7, heard_at=1.0) is False
+    )  # asked already, and nothing is new
+    following.on_digest(1.4, "c", 11, 7)
+    assert following.should_pull(1.4 + PULL_DELAY_S, "c", 7, heard_at=1.0) is None  # an answer is waited for
+    following.on_pull_answered()
+    assert following.should_pull(1.4 + PULL_DELAY_S, "c", 7, heard_at=1.0) is True
+    following.on_digest(3.0, "b", 12, 7)
+    assert following.should_pull(4.0, "b", 7, heard_at=4.0) is True  # it speaks all the time, and not of this
 
 
 def _bytes_told(world: World, message: type[messages.Message]) -> dict[str, int]:
@@ -95,7 +99,7 @@
 
 async def _ready(world: World, routes: int = 0) -> None:
     """All count, and all sidecars have the first configuration."""
-    assert await until(lambda: len(world.counting()) == len(world.controllers))
+    assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
     many = [route(f"r{at}", 1, f"/{at}/") for at in range(routes)]
     assert await world.patch(0, change([service("berths", 1)], many)) == 200
     assert await until(lambda: _caught_up(world, 1))
@@ -167,7 +171,7 @@
     async def story(world: World) -> None:
         assert not await frozen(world)
 
-    monkeypatch.setattr(Following, "lacks", lambda *told: False)
+    monkeypatch.setattr(ControllerSelector, "should_pull", lambda *told: False)
     played(story)
 
 
@@ -183,7 +187,7 @@
             world.start_sidecar(world.sidecars[0])
             # a wiped controller itself is whole after 1.1 s
             assert await until(lambda: _caught_up(world, 1), 1.0)
-            assert await until(lambda: len(world.counting()) == len(world.controllers))
+            assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
 
     played(story)
 
@@ -197,38 +201,40 @@
 def test_the_digest_of_records_is_that_of_those_that_stand(records):
     here, there, last = RecordsDigest(), RecordsDigest(), {}
     for record in records:
-        here.take(*record)
+        here.update(*record)
         last[record[0]] = record
     for record in reversed(list(last.values())):
-        there.take(*record)
+        there.update(*record)
     assert here.value == there.value
     for node in last:
-        here.drop(node)
-        here.drop(node)
+        here.remove(node)
+        here.remove(node)
     assert here.value == 0
 
 
 def test_a_controller_is_asked_for_all_records_once_for_each_difference():
     made = RecordsComparison()
-    assert made.lacks(0.0, "a", 7) is False, "it has told nothing"
-    assert not made.told(0.0, "a", 7, 7) and made.lacks(0.0, "a", 7) is False
-    assert made.told(1.0, "a", 9, 7)
-    assert made.lacks(1.0, "a", 7) is None, "it may be on its way"
-    assert made.lacks(2.0, "a", 7) is True and made.lacks(9.0, "a", 7) is False
-    assert made.told(2.1, "b", 11, 7)
-    assert made.lacks(3.0, "b", 7) is None, "another has just been asked"
-    assert made.lacks(2.0 + RECORDS_PAUSE_S, "b", 7) is True
-    assert made.told(99.0, "a", 9, 8) and made.lacks(100.0, "a", 8) is True, "this place has changed since"
-    made.down("a")
-    assert made.lacks(999.0, "a", 5) is False
+    assert made.should_pull(0.0, "a", 7) is False, "it has told nothing"
+    assert not made.on_digest(0.0, "a", 7, 7) and made.should_pull(0.0, "a", 7) is False
+    assert made.on_digest(1.0, "a", 9, 7)
+    assert made.should_pull(1.0, "a", 7) is None, "it may be on its way"
+    assert made.should_pull(2.0, "a", 7) is True and made.should_pull(9.0, "a", 7) is False
+    assert made.on_digest(2.1, "b", 11, 7)
+    assert made.should_pull(3.0, "b", 7) is None, "another has just been asked"
+    assert made.should_pull(2.0 + RECORDS_PAUSE_S, "b", 7) is True
+    assert made.on_digest(99.0, "a", 9, 8) and made.should_pull(100.0, "a", 8) is True, (
+        "this place has changed since"
+    )
+    made.on_disconnect("a")
+    assert made.should_pull(999.0, "a", 5) is False
 
 
 def test_while_records_change_everywhere_none_is_asked_at_once():
     made, asked = RecordsComparison(), []
     for at in range(60):  # both change each tenth of a second, and are never the same at one moment
         now = at / 10
-        made.told(now, "a", 1000 + at, 2000 + at)
-        if made.lacks(now + 0.05, "a", 2000 + at):
+        made.on_digest(now, "a", 1000 + at, 2000 + at)
+        if made.should_pull(now + 0.05, "a", 2000 + at):
             asked.append(now)
     assert len(asked) == 1 and asked[0] >= MOST_RECORDS_WAIT_S - 0.1, "a difference that lasts is looked into"
 
@@ -297,7 +303,7 @@
     async def story(world: World) -> None:
         assert not await hidden(world)
 
-    monkeypatch.setattr(RecordsComparison, "lacks", lambda *told: False)
+    monkeypatch.setattr(RecordsComparison, "should_pull", lambda *told: False)
     played(story, size=5, claimants=3)
 
 
--- a/tests/mesh/test_mesh_faults.py
+++ b/tests/mesh/test_mesh_faults.py
@@ -14,7 +14,7 @@
 
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, read_back, route, service, standing
+from operator_calls import InvariantViolation, change, read_back, route, service, standing
 
 from mesh.control import recovery
 from mesh.control.consensus import Replica
@@ -45,14 +45,14 @@
     """The outcome of one claim."""
     outcome = world.claim(name, key)
     if not await until(lambda: bool(outcome), 3.0):
-        raise Broken(f"a claim of {key} ended in nothing")
+        raise InvariantViolation(f"a claim of {key} ended in nothing")
     return outcome[0]
 
 
 async def story(world: World) -> None:
     """What the operator and the claimants do, while anything may be struck."""
     one, two = world.sidecars
-    if not await until(lambda: len(world.counting()) >= len(world.controllers) // 2 + 1, 4.0):
+    if not await until(lambda: len(world.caught_up_controllers()) >= len(world.controllers) // 2 + 1, 4.0):
         return
     await until(lambda: all(world.machines[name].process.role.voters.names for name in world.sidecars))
     await world.patch(0, change([service("berths", 1), service("crew", 1)], [route("a", 1, "/a/")]))
@@ -68,9 +68,9 @@
 async def aftermath(world: World) -> None:
     """All are back: whatever was promised holds, and new things can be done."""
     names = world.controllers
-    if not await until(lambda: world.counting() == names, 8.0 if world.acked else 3.0):
+    if not await until(lambda: world.caught_up_controllers() == names, 8.0 if world.acked else 3.0):
         if world.acked or any(key.ran for key in world.keys.values()):
-            raise Broken(f"only {world.counting()} came to count")
+            raise InvariantViolation(f"only {world.caught_up_controllers()} came to count")
         return
     for name in names:
         for _ in range(20):
@@ -79,17 +79,17 @@
                 break
             await asyncio.sleep(0.2)
         if status != 200:
-            raise Broken(f"{name} can't be read")
+            raise InvariantViolation(f"{name} can't be read")
         read_back(world, body)
     for at, key in enumerate(sorted(world.keys)):
         await claimed(world, world.sidecars[at % 2], key)  # that none runs twice is looked at in the world
     if await world.patch(len(names) - 1, change([service("crew", NEWEST)])) != 200:
-        raise Broken("no change is taken any more")
+        raise InvariantViolation("no change is taken any more")
     for at in range(10):
         if await claimed(world, world.sidecars[0], f"new {at}") == "RUN":
             return
         await asyncio.sleep(0.2)
-    raise Broken("no key is granted any more")
+    raise InvariantViolation("no key is granted any more")
 
 
 def play(world: World) -> World:
@@ -99,7 +99,7 @@
         for part in (story, aftermath):
             task = world.operator.run(part(world))
             if not world.run(90.0, task.done):
-                raise Broken("a play has no end")
+                raise InvariantViolation("a play has no end")
             task.result()
             world.story = world.story or world.points
     return world
@@ -173,9 +173,9 @@
 def struck(strike: Strike, at: int, **how: Any) -> World:
     """A play with a fault at one of its points."""
     world = World(**how)
-    world.strikes[at] = lambda name: strike(world, name)
+    world.faults_at[at] = lambda name: strike(world, name)
     play(world)
-    assert not world.strikes, "nothing was struck"
+    assert not world.faults_at, "nothing was struck"
     return world
 
 
@@ -185,7 +185,7 @@
     try:
         losses = 1 if at < len(STRIKES) else 2
         struck((STRIKES + PAIRS)[at], point, seed=seed, size=size, losses=losses)
-    except Broken as broken:
+    except InvariantViolation as broken:
         return str(broken)
     return ""
 
@@ -246,7 +246,7 @@
     losses = (size - 1) // 2
     try:
         struck(THREE if size > 3 else OVERLAPS[at], point, size=size, losses=losses)
-    except Broken as broken:
+    except InvariantViolation as broken:
         return str(broken)
     return ""
 
@@ -289,11 +289,11 @@
         world = World(seed=seed)
         disk = world.machines[world.controllers[seed % 3]].disk
         if seed % 2:
-            world.strikes[90 + seed] = lambda name, disk=disk, world=world: setattr(
+            world.faults_at[90 + seed] = lambda name, disk=disk, world=world: setattr(
                 disk, "stalled_until", world.now + 1.0
             )
         else:
-            world.strikes[90 + seed] = lambda name, disk=disk, world=world: (
+            world.faults_at[90 + seed] = lambda name, disk=disk, world=world: (
                 setattr(disk, "well", False),
                 world.after(1.0, lambda: setattr(disk, "well", True)),
             )
@@ -317,7 +317,7 @@
 
 async def ready(world: World) -> None:
     """All controllers count, and hear each other; services are there."""
-    assert await until(lambda: world.counting() == world.controllers)
+    assert await until(lambda: world.caught_up_controllers() == world.controllers)
     await asyncio.sleep(0.5)
     assert await world.patch(0, change([service("berths", 1), service("crew", 1)])) == 200
 
@@ -465,8 +465,8 @@
 
 
 def test_found_if_a_wiped_controller_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(recovery, "CLAIM_S", 0.0)
-    with pytest.raises(Broken, match="twice|by enough"):
+    monkeypatch.setattr(recovery, "CLAIM_TIMEOUT_S", 0.0)
+    with pytest.raises(InvariantViolation, match="twice|by enough"):
         claimed_late()
 
 
@@ -476,7 +476,7 @@
     for point in range(60, 200, every):
         try:
             struck(strike, point, seed=1)
-        except Broken as error:
+        except InvariantViolation as error:
             broken.add(str(error))
     return broken
 
--- a/tests/mesh/test_mesh_figures.py
+++ b/tests/mesh/test_mesh_figures.py
@@ -14,7 +14,7 @@
 from controller_process import SETTINGS, START_S, fetched, free_ports
 from plays import room
 from prometheus_client.parser import text_string_to_metric_families
-from test_mesh_api import ME, Ear, make_controller
+from test_mesh_api import ME, ResponseRecorder, make_controller
 from test_mesh_sidecar import Scene
 
 from hollyport.http.message import Message
@@ -96,7 +96,7 @@
     async def play() -> None:
         made = make_controller((ME, "192.0.2.2:7000", "192.0.2.3:7000"))
         made.context.store.batches, made.context.store.errors = 3, 0
-        made.api._refuse_order(Message(Ear()), ErrorKind.INVALID, "no JSON")  # type: ignore[arg-type]
+        made.api._refuse_change(Message(ResponseRecorder()), ErrorKind.INVALID, "no JSON")  # type: ignore[arg-type]
         found = told(made.figures())
         assert found["mesh_voters", ()] == 3.0 and found["mesh_voters_away", ()] == 2.0
         assert found["mesh_in_contact", ()] == 0.0 and found["mesh_losses_wanted", ()] == 1.0
--- a/tests/mesh/test_mesh_lease.py
+++ b/tests/mesh/test_mesh_lease.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from mesh_world import World
-from operator_calls import Broken, change, read_back, route, service
+from operator_calls import InvariantViolation, change, read_back, route, service
 from test_mesh_faults import WORKERS
 from test_mesh_faults import until as until_
 
@@ -32,11 +32,11 @@
 
 
 async def begun(world: World) -> None:
-    if not await until_(lambda: world.counting() == world.controllers):
-        raise Broken("no start")
+    if not await until_(lambda: world.caught_up_controllers() == world.controllers):
+        raise InvariantViolation("no start")
     assert await world.patch(0, change([service("berths", 1)], [route("a", 1, "/a/")])) == 200
     if not await until_(lambda: all(held(world, name) for name in world.sidecars)):
-        raise Broken("a sidecar hears of nothing")
+        raise InvariantViolation("a sidecar hears of nothing")
 
 
 def sidecar(world: World, name: str) -> Sidecar:
@@ -81,7 +81,7 @@
     began = world.now
     status, _ = await world.ask(name, method, body)
     if world.now - began > AT_ONCE_S:
-        raise Broken(f"{method.decode()} was answered after {world.now - began:.2f} s")
+        raise InvariantViolation(f"{method.decode()} was answered after {world.now - began:.2f} s")
     return status
 
 
@@ -96,18 +96,20 @@
         # Two operators at it, one with a valid order, one with an invalid one, one with one that it knows.
         for body in (change([service("berths", 3)]), UNKNOWN, change([service("berths", 1)])):
             if await asked_at_once(world, alone, b"PATCH", body) != 503:
-                raise Broken("an order was judged out of contact")
+                raise InvariantViolation("an order was judged out of contact")
         if (await world.ask(alone, b"GET"))[0] == 200:
-            raise Broken("a read was answered out of contact")
+            raise InvariantViolation("a read was answered out of contact")
         restart_inside(world, inside, alone)
         for _ in range(int(CUT_S - LOST_S) - 4):
             await asyncio.sleep(1.0)
             if held(world, inside):
-                raise Broken(f"a sidecar inside the cut takes {held(world, inside)}")
+                raise InvariantViolation(f"a sidecar inside the cut takes {held(world, inside)}")
             if held(world, outside).get("service/berths") != 2:
-                raise Broken(f"a sidecar outside the cut has {held(world, outside)}")
+                raise InvariantViolation(f"a sidecar outside the cut has {held(world, outside)}")
         await healed(world)
-        assert any(text == "out of contact with a majority" for _, host, text in world.said if host == alone)
+        assert any(
+            text == "out of contact with a majority" for _, host, text in world.log_lines if host == alone
+        )
 
     return story
 
@@ -119,7 +121,7 @@
         return all(held(world, name).get("service/berths", 0) >= 2 for name in world.sidecars)
 
     if not await until_(all_current, CUT_S):
-        raise Broken("a sidecar does not find its way after the cut")
+        raise InvariantViolation("a sidecar does not find its way after the cut")
     if not await until_(
         lambda: all(
             (controller := world.controller(name)) is not None and controller.in_contact
@@ -127,7 +129,7 @@
         ),
         CUT_S,
     ):
-        raise Broken("contact is not found again")
+        raise InvariantViolation("contact is not found again")
     for name in world.controllers:
         status, body = await world.ask(name, b"GET")
         assert status == 200
@@ -139,7 +141,7 @@
         world.start()
         task = world.operator.run(story(world))
         if not world.run(120.0, task.done):
-            raise Broken("a play has no end")
+            raise InvariantViolation("a play has no end")
         task.result()
 
 
@@ -170,9 +172,9 @@
         seen.add(held(world, inside).get("service/berths", 2))
     status, _ = await waiting
     if status != 503:
-        raise Broken(f"an order that waited for a frozen machine got {status}")
+        raise InvariantViolation(f"an order that waited for a frozen machine got {status}")
     if seen != {2}:
-        raise Broken(f"a sidecar takes from a machine that was frozen: {seen}")
+        raise InvariantViolation(f"a sidecar takes from a machine that was frozen: {seen}")
     await healed(world)
 
 
@@ -192,7 +194,7 @@
         outcome = world.claim(world.sidecars[at % 2], f"k{at}")
         assert await until_(lambda outcome=outcome: bool(outcome), 2.0)  # type: ignore[misc]
         if outcome != ["RUN"]:
-            raise Broken(f"a key is not granted by the majority: {outcome}")
+            raise InvariantViolation(f"a key is not granted by the majority: {outcome}")
     controller = world.controller(alone)
     assert before == 0 and controller is not None and len(controller.grants.registry) == 0
 
@@ -211,7 +213,7 @@
     world.kill(one)
     world.start_sidecar(one)
     await asyncio.sleep(4.0)
-    assert not held(world, one) and not sidecar(world, one).control.table.hosts
+    assert not held(world, one) and not sidecar(world, one).control.table.routes_by_host
     assert held(world, other) == {"service/berths": 1, "route/a": 1}
     for name in world.controllers:
         assert await asked_at_once(world, name, b"PATCH", change([service("berths", 2)])) == 503
@@ -228,7 +230,7 @@
     for name in world.controllers[1:]:
         world.power_off(name)
     await asyncio.sleep(16.5)
-    told = [text for _, host, text in world.said if host == world.controllers[0]]
+    told = [text for _, host, text in world.log_lines if host == world.controllers[0]]
     assert any(text.startswith("no majority for long") for text in told)
     controller = world.controller(world.controllers[0])
     assert controller is not None and controller.heartbeats.safety == Safety(0, 0)
@@ -256,17 +258,17 @@
     await asyncio.sleep(4.0)
     found = held(world, inside).get("service/berths", 5)
     if found < 5:
-        raise Broken(f"r5 is acknowledged, and r{found} is taken by a sidecar that starts")
+        raise InvariantViolation(f"r5 is acknowledged, and r{found} is taken by a sidecar that starts")
     await healed(world)
 
 
 def struck(job: tuple[int, int]) -> str:
     strike, point = job
     world = World(seed=1)
-    world.strikes[point] = lambda name: CUTS[strike](world, world.controllers[0])
+    world.faults_at[point] = lambda name: CUTS[strike](world, world.controllers[0])
     try:
         play(world, changes_and_a_cut)
-    except Broken as broken:
+    except InvariantViolation as broken:
         return str(broken)
     return ""
 
@@ -288,7 +290,9 @@
 
 def test_found_if_the_lease_is_not_looked_at(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ReadLease, "holds", lambda contact, now, voters, votes: voters.epoch > 0)
-    with pytest.raises(Broken, match="inside the cut takes|judged out of contact|was answered after"):
+    with pytest.raises(
+        InvariantViolation, match="inside the cut takes|judged out of contact|was answered after"
+    ):
         play(World(), cut_off(cut_from_peers))
 
 
@@ -301,7 +305,7 @@
 
     hear = Heartbeats.hear
     monkeypatch.setattr(Heartbeats, "hear", late)
-    with pytest.raises(Broken, match="frozen"):
+    with pytest.raises(InvariantViolation, match="frozen"):
         for seed in range(5):
             play(World(seed=seed), frozen)
 
--- a/tests/mesh/test_mesh_odd_voters.py
+++ b/tests/mesh/test_mesh_odd_voters.py
@@ -11,7 +11,7 @@
 
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, service
+from operator_calls import InvariantViolation, change, service
 from test_mesh_faults import WORKERS, cut_of_one, power_of_all, power_of_one, wipe_of_one
 from test_mesh_faults import until as until_
 from test_mesh_voters import QUICK, SLOW, afterwards, busy, newest, play, ready, settled, voters
@@ -116,7 +116,7 @@
     def all_linked(agreement: Agreement, voters: Voters) -> int:
         return len(agreement._peers.of(voters)) + 1
 
-    monkeypatch.setattr(Agreement, "_expected", all_linked)
+    monkeypatch.setattr(Agreement, "_expected_responses", all_linked)
     took = clashes()
     assert took[-1] >= LONG_S or took[int(0.9 * len(took))] >= 0.3
 
@@ -136,7 +136,7 @@
     all_vote(monkeypatch)
     for seed in range(3):
         world = play(World(seed=seed, size=4, bounds=QUICK), one_is_demoted)
-        assert max(world.sets) == 2 and [len(world.sets[epoch]) for epoch in (1, 2)] == [4, 3]
+        assert max(world.voter_sets) == 2 and [len(world.voter_sets[epoch]) for epoch in (1, 2)] == [4, 3]
 
 
 STRIKES: tuple[tuple[Callable[[World, str], None], int], ...] = (  # with every how many-th point
@@ -151,10 +151,10 @@
     """What breaks in a play that is struck at one of its points."""
     strike, point = job
     world = World(size=4, bounds=QUICK)
-    world.strikes[point] = lambda name: STRIKES[strike][0](world, name)
+    world.faults_at[point] = lambda name: STRIKES[strike][0](world, name)
     try:
         play(world, one_is_demoted)
-    except Broken as broken:
+    except InvariantViolation as broken:
         return str(broken)
     return ""
 
@@ -165,8 +165,8 @@
 ) -> None:
     all_vote(monkeypatch)
     world = play(World(size=4, bounds=QUICK), one_is_demoted)
-    first = next(point for point, _, text in world.said if text == "others should vote") + 1
-    last = max(point for point, _, text in world.said if text == "whole again") + 1
+    first = next(point for point, _, text in world.log_lines if text == "others should vote") + 1
+    last = max(point for point, _, text in world.log_lines if text == "whole again") + 1
     assert last - first > 40
     jobs = [(strike, point) for point in range(first, last, STRIKES[strike][1])]
     fork = multiprocessing.get_context("fork")
@@ -182,8 +182,8 @@
     all_vote(monkeypatch)
 
     async def story(world: World) -> None:
-        if not await until_(lambda: world.counting() == world.controllers):
-            raise Broken("no start")
+        if not await until_(lambda: world.caught_up_controllers() == world.controllers):
+            raise InvariantViolation("no start")
         *rest, alone = world.controllers
         one, two = world.sidecars
         for name in (alone, one):
--- a/tests/mesh/test_mesh_orders.py
+++ b/tests/mesh/test_mesh_orders.py
@@ -8,7 +8,7 @@
 
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, read_back, route, service
+from operator_calls import InvariantViolation, change, read_back, route, service
 from test_mesh_faults import BACK_S, until
 
 from mesh.state import configuration
@@ -55,14 +55,14 @@
 
 async def busy(world: World) -> None:
     """All of it, and then everything is read back everywhere."""
-    assert await until(lambda: len(world.counting()) == len(world.controllers))
+    assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
     assert await world.patch(0, change([service("berths", 1)])) == 200
     refused: list[str] = []
     await asyncio.gather(*(operate(world, operator, refused) for operator in range(OPERATORS)))
     if refused:
-        raise Broken(refused[0])
+        raise InvariantViolation(refused[0])
     await asyncio.sleep(2.0)
-    assert await until(lambda: len(world.counting()) == len(world.controllers))
+    assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
     for name in world.controllers:
         for _ in range(20):
             status, body = await world.ask(name, b"GET")
@@ -80,7 +80,7 @@
         for _ in range(strikes):
             point = world.random.randrange(150, 1500)
             everyone = world.random.random() < 0.3
-            world.strikes[point] = kill_all(world) if everyone else lambda name: world.kill(name, BACK_S)
+            world.faults_at[point] = kill_all(world) if everyone else lambda name: world.kill(name, BACK_S)
         world.start()
         task = world.operator.run(busy(world))
         assert world.run(120.0, task.done)
@@ -105,14 +105,14 @@
 
 def test_found_if_the_same_content_again_counts_as_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """An order sent again is then refused, as its version stands."""
-    plain = configuration.change
+    plain = configuration.validate_change
 
     def strict(items: configuration.Items, call: tuple[Item, ...]) -> Any:
         stands = [item for item in call if item.name in items and items[item.name].version == item.version]
         return plain(items, [*call, *(item._replace(content="{}") for item in stands)])
 
-    monkeypatch.setattr(configuration, "change", strict)
-    with pytest.raises(Broken, match="taken, and then refused"):
+    monkeypatch.setattr(configuration, "validate_change", strict)
+    with pytest.raises(InvariantViolation, match="taken, and then refused"):
         for seed in range(4):
             played(seed)
 
@@ -121,9 +121,9 @@
     """Another content under a version that stands is then taken in its place."""
 
     def loose(items: configuration.Items, call: tuple[Item, ...]) -> Any:
-        return configuration.Ok(tuple(item for item in call if item.beats(items.get(item.name))))
+        return configuration.Ok(tuple(item for item in call if item.supersedes(items.get(item.name))))
 
-    monkeypatch.setattr(configuration, "change", loose)
-    with pytest.raises(Broken, match="two contents|another content"):
+    monkeypatch.setattr(configuration, "validate_change", loose)
+    with pytest.raises(InvariantViolation, match="two contents|another content"):
         for seed in range(4):
             played(seed)
--- a/tests/mesh/test_mesh_repair.py
+++ b/tests/mesh/test_mesh_repair.py
@@ -10,7 +10,7 @@
 
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, route, service
+from operator_calls import InvariantViolation, change, route, service
 from test_mesh_faults import WORKERS, cut_of_one, power_of_one, wipe_of_one
 from test_mesh_faults import claimed as one_claim
 from test_mesh_faults import until as until_
@@ -38,8 +38,8 @@
 
 async def begun(world: World) -> None:
     """The first voters act; something is stored and some keys are granted."""
-    if not await until_(lambda: world.counting() == world.controllers):
-        raise Broken("no start")
+    if not await until_(lambda: world.caught_up_controllers() == world.controllers):
+        raise InvariantViolation("no start")
     assert await world.patch(0, change([service("berths", 1)], [route("a", 1, "/a/")])) == 200
     for at in range(6):
         assert await one_claim(world, world.sidecars[at % 2], f"old {at}") == "RUN"
@@ -53,8 +53,8 @@
 async def replaced_as_planned(world: World, old: str, new: str) -> None:
     """The successor first, then SIGTERM to the one before, which never returns."""
     world.start_controller(new)
-    if not await until_(lambda: new in world.counting()):
-        raise Broken(f"{new} does not come to count")
+    if not await until_(lambda: new in world.caught_up_controllers()):
+        raise InvariantViolation(f"{new} does not come to count")
     world.marks["term"] = world.points
     world.term(old, GRACE_S)
     ends = world.now + GRACE_S  # one that was struck and started again is ended by the platform then
@@ -77,10 +77,12 @@
         """Whether as many vote as before, none of them the lost one, and all that live count. A learner may
         have taken the place before the new machine could."""
         replaced = len(newest(world).names) == size and not votes(world, lost)
-        return replaced and new in live(world) and len(world.counting()) == len(live(world))
+        return replaced and new in live(world) and len(world.caught_up_controllers()) == len(live(world))
 
     if not await until_(repaired, CATCH_UP_S):
-        raise Broken(f"{lost} is not repaired {CATCH_UP_S} s after the start of {new}: {newest(world)}")
+        raise InvariantViolation(
+            f"{lost} is not repaired {CATCH_UP_S} s after the start of {new}: {newest(world)}"
+        )
     world.repairs.append(world.now - began)
 
 
@@ -140,7 +142,7 @@
         await begun(world)
         old, new = world.controllers[0], world.spares[0]
         world.start_controller(new)
-        assert await until_(lambda: new in world.counting())
+        assert await until_(lambda: new in world.caught_up_controllers())
         began = world.now
         world.term(old)
         assert await until_(lambda: votes(world, new) and not votes(world, old), 1.0)
@@ -157,7 +159,7 @@
         await begun(world)
         for name in world.spares:
             world.start_controller(name)
-        assert await until_(lambda: world.counting() == world.controllers + world.spares)
+        assert await until_(lambda: world.caught_up_controllers() == world.controllers + world.spares)
         one, two, stays = world.controllers
         world.term(one)
         world.term(two)
@@ -182,7 +184,7 @@
         assert status == 200, "it answers as long as it is there"
         assert await until_(lambda: world.controller(old) is None, GRACE_S)
         assert world.now - began < GRACE_S - 0.3, "it was not killed"
-        assert any("ends and no other has taken its place" in text for _, _, text in world.said)
+        assert any("ends and no other has taken its place" in text for _, _, text in world.log_lines)
         world.start_controller(old)
         await afterwards(world, 1)
         assert newest(world).epoch == 1
@@ -227,7 +229,7 @@
         await replaced_as_planned(world, old, new)
         world.removed.clear()
         world.wipe(old, 0.01)
-        assert await until_(lambda: old in world.counting())
+        assert await until_(lambda: old in world.caught_up_controllers())
         assert not votes(world, old)
         await afterwards(world, 2)
 
@@ -253,10 +255,10 @@
     case, point = job
     size, losses, strike, _ = CASES[case]
     world = make(1, size, losses)
-    world.strikes[point] = lambda name: strike(world, name)
+    world.faults_at[point] = lambda name: strike(world, name)
     try:
         play(world, planned_then_lost)
-    except Broken as broken:
+    except InvariantViolation as broken:
         return str(broken)
     return ""
 
@@ -284,14 +286,14 @@
     for seed in range(seeds):
         try:
             play(make(seed, size), planned_then_lost)
-        except Broken as broken:
+        except InvariantViolation as broken:
             found.add(str(broken))
     return found
 
 
 def slow_repair(patch: pytest.MonkeyPatch) -> None:
     """A voter is replaced as late as it used to be."""
-    patch.setattr(Context, "patience", property(lambda context: Patience(14.0, 14.0, 7.0)))
+    patch.setattr(Context, "membership_delays", property(lambda context: Patience(14.0, 14.0, 7.0)))
 
 
 def no_hand_over(patch: pytest.MonkeyPatch) -> None:
@@ -307,7 +309,7 @@
 def all_wait(patch: pytest.MonkeyPatch) -> None:
     """A new machine waits as one whose disk was emptied, and for twice as long as a loss is to last."""
     patch.setattr(Member, "may_have_promised", property(lambda member: not member.lasted))
-    patch.setattr("mesh.control.recovery.CLAIM_S", CATCH_UP_S)
+    patch.setattr("mesh.control.recovery.CLAIM_TIMEOUT_S", CATCH_UP_S)
 
 
 @pytest.mark.parametrize("defence", [slow_repair, no_hand_over, all_wait])
--- a/tests/mesh/test_mesh_rounds.py
+++ b/tests/mesh/test_mesh_rounds.py
@@ -32,7 +32,7 @@
 
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, route, service
+from operator_calls import InvariantViolation, change, route, service
 from test_mesh_faults import WORKERS, aftermath, ready, until
 
 from mesh.control import recovery
@@ -143,7 +143,7 @@
 
     def lose(self, name: str, back_s: float) -> bool:
         """Wipe a controller, if the budget has room for one more."""
-        self.wiped -= {one for one in self.counting() if self._whole_disk(one)}
+        self.wiped -= {one for one in self.caught_up_controllers() if self._whole_disk(one)}
         if len(self.wiped | {name}) > self.losses:
             return False
         self.wiped.add(name)
@@ -329,7 +329,7 @@
     ]
     return all(
         any(item.name in items and items[item.name].version >= item.version for items in held)
-        for item in configuration.read(body).ok
+        for item in configuration.parse_change(body).ok
     )
 
 
@@ -341,7 +341,7 @@
         status = await world.patch(draw.randrange(len(world.controllers)), body, tries=draw.randint(1, 5))
         world.counts[f"changes {status}"] += 1
         if status == 200 and not proper and not overtaken(world, body):
-            raise Broken(f"invalid, and acknowledged: {body.decode()}")
+            raise InvariantViolation(f"invalid, and acknowledged: {body.decode()}")
         await asyncio.sleep(draw.choice((0.0, 0.0, 0.1, 0.3)))
 
 
@@ -369,12 +369,12 @@
     if not await until(
         lambda: all(world.machines[name].process.role.voters.names for name in world.sidecars)
     ):
-        raise Broken("sidecars have heard of no voters")
+        raise InvariantViolation("sidecars have heard of no voters")
     draw, base = world.draw, world.points
     for _ in range(draw.randint(1, 5)):
-        world.strikes[base + draw.randint(1, SPAN)] = world.strike
+        world.faults_at[base + draw.randint(1, SPAN)] = world.strike
     await asyncio.gather(operate(world), operate(world), *(use(world, name) for name in world.sidecars))
-    world.strikes.clear()
+    world.faults_at.clear()
     await asyncio.sleep(4.0)  # the last fault is over, and whoever was ended is there again
 
 
@@ -415,15 +415,17 @@
     """Nothing fails any more: what was promised holds, and all copies come to agree."""
     await aftermath(world)  # type: ignore[arg-type]
     if not await until(lambda: not differ(world), AGREE_S):
-        raise Broken(differ(world)[0])
+        raise InvariantViolation(differ(world)[0])
     sidecar = world.machines[world.sidecars[0]].process
     assert sidecar is not None
     held = sidecar.role.items
-    for clash in configuration.table(held)[1]:
+    for clash in configuration.build_table(held)[1]:
         for name in clash.names:
             newest = max((item.version for item in world.acked.get(name, ())), default=-1)
             if name.startswith("route/") and newest == held[name].version and held[name].content:
-                raise Broken(f"{name} r{newest} was acknowledged, and is held out of force: {clash.text}")
+                raise InvariantViolation(
+                    f"{name} r{newest} was acknowledged, and is held out of force: {clash.text}"
+                )
 
 
 def play(seed: int, trace: bool = False) -> Round:
@@ -434,7 +436,7 @@
         for part in (story, end):
             task = world.operator.run(part(world))
             if not world.run(120.0, task.done):
-                raise Broken("a round has no end")
+                raise InvariantViolation("a round has no end")
             task.result()
     return world
 
@@ -443,7 +445,7 @@
     """What broke in a round, or nothing; and what went on in it."""
     try:
         return "", play(seed).counts
-    except (Broken, AssertionError) as broken:
+    except (InvariantViolation, AssertionError) as broken:
         return str(broken) or repr(broken), Counter()
 
 
@@ -500,18 +502,18 @@
             if (controller := world.controller(name)) is not None
         )
 
-    while not found(lambda controller: controller.agreement.replica.open is not None):
+    while not found(lambda controller: controller.agreement.replica.open_draft is not None):
         await asyncio.sleep(0.0005)
-        if found(lambda controller: controller.agreement.replica.granted != FIRST):
+        if found(lambda controller: controller.agreement.replica.active_ballot != FIRST):
             world.sync_s = (0.5, 0.6)  # promises lie on the disk, the change does not
     for name in world.controllers:
         world.power_off(name, 0.3)
     world.sync_s = (0.002, 0.006)
     assert (await status)[0] == 0
-    assert await until(lambda: world.counting() == world.controllers)
+    assert await until(lambda: world.caught_up_controllers() == world.controllers)
     await asyncio.sleep(AGREE_S)
     if "route/x" in process.role.items and not found(lambda controller: "route/x" in controller.items):
-        raise Broken("route/x is in force at a sidecar, and no controller has it")
+        raise InvariantViolation("route/x is in force at a sidecar, and no controller has it")
     assert not found(lambda controller: "route/x" in controller.items), "it was to be lost"
 
 
@@ -530,8 +532,8 @@
         controller = world.controller(first)
     world.power_off(first, 0.3)
     world.wipe(other, 0.3)
-    if not await until(lambda: world.counting() == world.controllers):
-        raise Broken(f"only {world.counting()} came to count")
+    if not await until(lambda: world.caught_up_controllers() == world.controllers):
+        raise InvariantViolation(f"only {world.caught_up_controllers()} came to count")
 
 
 def test_a_controller_that_counts_bears_the_loss_of_another() -> None:
@@ -553,7 +555,7 @@
 
 def no_wait(patch: pytest.MonkeyPatch) -> None:
     """A wiped controller does not wait until claims that it may have granted are void."""
-    patch.setattr(recovery, "CLAIM_S", 0.0)
+    patch.setattr(recovery, "CLAIM_TIMEOUT_S", 0.0)
 
 
 def second_answer(patch: pytest.MonkeyPatch) -> None:
--- a/tests/mesh/test_mesh_sidecar.py
+++ b/tests/mesh/test_mesh_sidecar.py
@@ -92,7 +92,7 @@
 
     def __init__(self, version=0, more=""):
         self.sidecar = Sidecar(settings.read(SETTINGS + more).ok)
-        self.sidecar.control.take_items(configuration.read(json.dumps(ITEMS).encode()).ok)
+        self.sidecar.control.take_items(configuration.parse_change(json.dumps(ITEMS).encode()).ok)
         self.links = {}
         for number, zone in enumerate(("east", "west", "south"), 2):
             node = f"n{number}"
--- a/tests/mesh/test_mesh_voters.py
+++ b/tests/mesh/test_mesh_voters.py
@@ -15,7 +15,7 @@
 import cbor2
 import pytest
 from mesh_world import World
-from operator_calls import Broken, change, read_back, route, service
+from operator_calls import InvariantViolation, change, read_back, route, service
 from test_mesh_api import ME, Disk, make_controller
 from test_mesh_faults import (
     NEWEST,
@@ -60,12 +60,12 @@
 
 async def ready(world: World) -> None:
     """The first voters act, and the spares have caught up."""
-    if not await until_(lambda: world.counting() == world.controllers):
-        raise Broken("no start")
+    if not await until_(lambda: world.caught_up_controllers() == world.controllers):
+        raise InvariantViolation("no start")
     for name in world.spares:
         world.start_controller(name)
-    if not await until_(lambda: world.counting() == world.controllers + world.spares):
-        raise Broken("the spares don't count")
+    if not await until_(lambda: world.caught_up_controllers() == world.controllers + world.spares):
+        raise InvariantViolation("the spares don't count")
     assert await world.patch(0, change([service("berths", 1)], [route("a", 1, "/a/")])) == 200
     for at in range(6):
         assert await one_claim(world, world.sidecars[at % 2], f"old {at}") == "RUN"
@@ -77,8 +77,8 @@
     patches = set()
     while not done():
         if world.now > end:
-            raise Broken(f"it never came to what should be: {newest(world)}")
-        if began > end and any(text == "others should vote" for _, _, text in world.said):
+            raise InvariantViolation(f"it never came to what should be: {newest(world)}")
+        if began > end and any(text == "others should vote" for _, _, text in world.log_lines):
             began = world.now
         at += 1
         outcomes.append(world.claim(world.sidecars[at % 2], f"old {at % 6}"))
@@ -90,7 +90,7 @@
     for patch in patches:
         await patch
     if not await until_(lambda: all(outcomes), 3.0):
-        raise Broken("claims that end in nothing")
+        raise InvariantViolation("claims that end in nothing")
 
 
 async def afterwards(world: World, epoch: int) -> None:
@@ -98,12 +98,12 @@
 
     def whole() -> bool:
         now = newest(world)
-        counting = [name for name in world.counting() if voters(world, name) == now]
+        counting = [name for name in world.caught_up_controllers() if voters(world, name) == now]
         return now.epoch >= epoch and counting == live(world)
 
     if not await until_(whole, 25.0):
-        told = {name: (voters(world, name), name in world.counting()) for name in live(world)}
-        raise Broken(f"not whole after the change: {told}")
+        told = {name: (voters(world, name), name in world.caught_up_controllers()) for name in live(world)}
+        raise InvariantViolation(f"not whole after the change: {told}")
     for name in live(world):
         for _ in range(20):
             status, body = await world.ask(name, b"GET")
@@ -111,18 +111,18 @@
                 break
             await asyncio.sleep(0.2)
         if status != 200:
-            raise Broken(f"{name} can't be read")
+            raise InvariantViolation(f"{name} can't be read")
         read_back(world, body)
     for at, key in enumerate(sorted(world.keys)[:40]):
         await one_claim(world, world.sidecars[at % 2], key)
     names = world.controllers = live(world)
     if await world.patch(len(names) - 1, change([service("crew", NEWEST)])) != 200:
-        raise Broken("no change is taken any more")
+        raise InvariantViolation("no change is taken any more")
     for at in range(10):
         if await one_claim(world, world.sidecars[0], f"new {at}") == "RUN":
             return
         await asyncio.sleep(0.2)
-    raise Broken("no key is granted any more")
+    raise InvariantViolation("no key is granted any more")
 
 
 def play(world: World, story: Callable[[World], Coroutine[Any, Any, None]], limit_s: float = 150.0) -> World:
@@ -130,7 +130,7 @@
         world.start()
         task = world.operator.run(story(world))
         if not world.run(limit_s, task.done):
-            raise Broken("a play has no end")
+            raise InvariantViolation("a play has no end")
         task.result()
     return world
 
@@ -138,7 +138,7 @@
 def settled(world: World, epoch: int) -> bool:
     """Whether all that live are in an epoch and count."""
     return all(voters(world, name).epoch >= epoch for name in live(world)) and (
-        len(world.counting()) == len(live(world))
+        len(world.caught_up_controllers()) == len(live(world))
     )
 
 
@@ -167,7 +167,7 @@
 
 
 def proposer(world: World) -> str:
-    return next(host for _, host, text in world.said if text == "others should vote")
+    return next(host for _, host, text in world.log_lines if text == "others should vote")
 
 
 def proposer_dies(world: World, name: str) -> None:
@@ -198,8 +198,8 @@
 
 def window(world: World) -> tuple[int, int]:
     """The points from the wish to change until all count again."""
-    first = next(point for point, _, text in world.said if text == "others should vote")
-    return first + 1, max(point for point, _, text in world.said if text == "whole again") + 1
+    first = next(point for point, _, text in world.log_lines if text == "others should vote")
+    return first + 1, max(point for point, _, text in world.log_lines if text == "whole again") + 1
 
 
 Case = tuple[Callable[[int], World], Callable[[World], Coroutine[Any, Any, None]], Strike, int]
@@ -223,12 +223,12 @@
     """What breaks in a play that is struck at one of its points."""
     make, story, strike, _ = CASES[case]
     world = make(seed)
-    world.strikes[point] = lambda name: strike(world, name)
+    world.faults_at[point] = lambda name: strike(world, name)
     try:
         play(world, story)
-    except Broken as broken:
+    except InvariantViolation as broken:
         return str(broken)
-    assert not world.strikes, "nothing was struck"
+    assert not world.faults_at, "nothing was struck"
     return ""
 
 
@@ -262,7 +262,7 @@
     async def story(world: World) -> None:
         await ready(world)
         world.power_off(world.controllers[0])
-        await until_(lambda: any(text == "others should vote" for _, _, text in world.said), 20.0)
+        await until_(lambda: any(text == "others should vote" for _, _, text in world.log_lines), 20.0)
         at["began"] = world.now
         outcomes = [world.claim(name, f"under way {at_}") for at_ in range(4) for name in world.sidecars[:1]]
         await until_(lambda: all(outcomes))
@@ -292,7 +292,7 @@
                 world.machines[controller.context.me[:-5]].process.soon(  # type: ignore[union-attr]
                     lambda: (
                         controller.voters.epoch == 1
-                        and controller.context.start(controller.elections.propose(wishes[at]))
+                        and controller.context.spawn(controller.elections.propose(wishes[at]))
                     )
                 )
                 await asyncio.sleep(world.random.uniform(0, 0.3))
@@ -300,14 +300,14 @@
         await asyncio.gather(*(wish(at) for at in range(3)), busy(world, lambda: settled(world, 2)))
         assert newest(world).epoch == 2
         for name in live(world):
-            world.believed(voters(world, name))
+            world.check_voters(voters(world, name))
         await afterwards(world, 2)
 
     return play(world, story)
 
 
 def test_of_proposers_at_once_one_wins_and_all_learn_the_same() -> None:
-    won = {rivals(seed).sets[2] for seed in range(30)}
+    won = {rivals(seed).voter_sets[2] for seed in range(30)}
     assert len(won) > 1
 
 
@@ -320,7 +320,7 @@
 
     begin = Proposal.__init__
     monkeypatch.setattr(Proposal, "__init__", few)
-    with pytest.raises(Broken, match="beside"):  # the first seed that shows it ends the search
+    with pytest.raises(InvariantViolation, match="beside"):  # the first seed that shows it ends the search
         for seed in range(300):
             rivals(seed)
 
@@ -334,14 +334,14 @@
 
     hear_all = Recovery._hear_all
     monkeypatch.setattr(Recovery, "_hear_all", at_once)
-    with pytest.raises(Broken, match="twice|by enough"):
+    with pytest.raises(InvariantViolation, match="twice|by enough"):
         for seed in range(6):
             play(goes(seed), one_goes)
 
 
 def test_found_if_one_that_was_sealed_is_enough_to_hear(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Voters, "read", property(lambda voters: 1))
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolation):
         for seed in range(200):  # the first seed that shows it ends the search
             play(goes(seed), one_goes)
 
@@ -364,7 +364,7 @@
     controller = world.controller(b)
     assert controller is not None
     names = tuple(f"{name}:7000" for name in (b, d, e))
-    world.machines[b].process.soon(lambda: controller.context.start(controller.elections.propose(names)))  # type: ignore[union-attr]
+    world.machines[b].process.soon(lambda: controller.context.spawn(controller.elections.propose(names)))  # type: ignore[union-attr]
     assert await until_(lambda: all(voters(world, name).epoch == 2 for name in (b, c, d, e)))
     await one_claim(world, two, "k")
     await until_(lambda: bool(outcome))
@@ -397,7 +397,7 @@
         )
     world = World(spares=2, bounds=QUICK)
     if runs > 1:
-        with pytest.raises(Broken, match="twice|by enough"):
+        with pytest.raises(InvariantViolation, match="twice|by enough"):
             play(world, late_grant)
     else:
         play(world, late_grant)
@@ -476,7 +476,7 @@
 
 def test_all_seeds_are_replaced_one_after_the_other_and_those_gone_are_forgotten() -> None:
     async def story(world: World) -> None:
-        await until_(lambda: world.counting() == world.controllers)
+        await until_(lambda: world.caught_up_controllers() == world.controllers)
         assert await world.patch(0, change([service("berths", 1)], [route("a", 1, "/a/")])) == 200
         for at in range(6):
             assert await one_claim(world, world.sidecars[at % 2], f"old {at}") == "RUN"
@@ -553,14 +553,14 @@
 
 def test_seeds_that_are_all_new_machines_name_no_voters() -> None:
     async def story(world: World) -> None:
-        assert await until_(lambda: world.counting() == world.controllers)
+        assert await until_(lambda: world.caught_up_controllers() == world.controllers)
         world.seeds = tuple(world.spares)
         for name in world.spares:
             world.start_controller(name)
         await asyncio.sleep(6.0)
         assert not any(voters(world, name).epoch for name in world.spares)
         world.reseed(world.controllers)
-        assert await until_(lambda: world.counting() == world.controllers + world.spares)
+        assert await until_(lambda: world.caught_up_controllers() == world.controllers + world.spares)
 
     play(World(spares=3, bounds=QUICK), story)
 
--- a/tests/mesh/test_mesh_weighted_split.py
+++ b/tests/mesh/test_mesh_weighted_split.py
@@ -9,7 +9,7 @@
 
 from mesh.proxy import weighted_split
 from mesh.proxy.weighted_split import WeightedSplit
-from mesh.state.configuration import Item, Route, build
+from mesh.state.configuration import Item, Route, parse_item
 
 WINDOW = 300  # requests in which each part has to get its share
 OFF = 0.03  # by which it may miss it; independent draws miss it by up to 0.09 here
@@ -19,7 +19,7 @@
     split = ",".join(f'{{"service":"s{at}","weight":{weight}}}' for at, weight in enumerate(weights))
     effect = f'{{"weighted_split":[{split}],"timeout":"1s"}}'
     rule = f'{{"name":"{name}","variant":"pure","matcher":{{"path_prefix":"/"}},"effect":{effect}}}'
-    made = build(Item(f"route/{name}", 1, f'{{"hostname":"a.example","rule":{rule}}}'))
+    made = parse_item(Item(f"route/{name}", 1, f'{{"hostname":"a.example","rule":{rule}}}'))
     assert isinstance(made, Route)
     return made
 
--- a/tests/verify/test_explorer.py
+++ b/tests/verify/test_explorer.py
@@ -29,7 +29,7 @@
 
 
 def test_times_are_the_mesh_s():
-    assert mesh.control.context.CLAIM_S == mesh.proxy.key_claims.ROUND_TIMEOUT_S == CLAIM_S
+    assert mesh.control.context.CLAIM_TIMEOUT_S == mesh.proxy.key_claims.ROUND_TIMEOUT_S == CLAIM_S
     assert TICK_S <= CLAIM_S < 2 * TICK_S <= CLAIM_S + 0.1 + 1e-9
 
 
--- a/verify/items.py
+++ b/verify/items.py
@@ -11,7 +11,7 @@
 A state is (proposers, machines, sidecar, faults left). Machines are sorted: they are alike.
     proposer: phase, tries, number of its ballot, number of the change, items proposed
     machine: counts, replica, its disk, whole on disk, heard by the one that recovers, a link to each proposer
-    replica: items, sequence, promised, draft, granted; as of `mesh.control.consensus.Replica`
+    replica: items, sequence, promised, draft, active_ballot; as of `mesh.control.consensus.Replica`
     link: whether the proposer is at this machine, requests on their way there, what was heard from it
 Sets of items are numbers of items, sorted; for each name one.
 """
@@ -133,7 +133,7 @@
 
     def told(self, made: Replica) -> State:
         """A replica as it lies in a state."""
-        draft = made.open
+        draft = made.open_draft
         return (
             tuple(sorted(self.number[item] for item in made.items.values())),
             made.sequence,
@@ -141,7 +141,7 @@
             (draft.sequence, tuple(draft.ballot), tuple(self.number[row] for row in draft.items))
             if draft
             else NONE,
-            tuple(made.granted),
+            tuple(made.active_ballot),
         )
 
     def _prepared(self, told: State, ballot: State) -> State:
@@ -183,13 +183,13 @@
     def _held_out(self, ids: State) -> State:
         table, wrong = self.parts.table(self.items(ids))
         names = set[str]().union(*(clash.names for clash in wrong))
-        stand = {f"route/{route.name}" for rows in table.hosts.values() for _, route in rows}
+        stand = {f"route/{route.name}" for rows in table.routes_by_host.values() for _, route in rows}
         return tuple(at for at in ids if self.known[at].name in names - stand)
 
     def _unsound(self, ids: State) -> str:
         """What of a table could not be served as it stands."""
         table = self.parts.table(self.items(ids))[0]
-        for host, rows in table.hosts.items():
+        for host, rows in table.routes_by_host.items():
             if len({prefix for prefix, _ in rows}) < len(rows):
                 return f"two routes at one place of {host}"
             for _, route in rows:
--- a/verify/mutations.py
+++ b/verify/mutations.py
@@ -17,7 +17,7 @@
 from mesh.control.consensus import Plan, Promise, Replica
 from mesh.state import configuration
 from mesh.state.ballots import FIRST, Ballot, Draft
-from mesh.state.configuration import Clash, Item, Items, Table
+from mesh.state.configuration import Conflict, Item, Items, RoutingTable
 from mesh.state.idempotency import Claim, Grant, GrantRow, Mark, Registry, Verdict
 from mesh.state.quorum import Voters
 from verify import claims, items, sets
@@ -55,7 +55,7 @@
     __slots__ = ()
 
     def accept(self, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica | None:
-        return self._replace(granted=ballot, promised=FIRST)._accepted(ballot, sequence, items)
+        return self._replace(active_ballot=ballot, promised=FIRST)._accepted(ballot, sequence, items)
 
     def _accepted(self, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica | None:
         return super().accept(ballot, sequence, items)
@@ -67,7 +67,7 @@
     __slots__ = ()
 
     def accept(self, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica | None:
-        if ballot != self.granted:
+        if ballot != self.active_ballot:
             return None
         return self._replace(draft=Draft(sequence, ballot, items))
 
@@ -108,7 +108,7 @@
 def no_effect(items: Items, call: Iterable[Item]) -> Result[tuple[Item, ...], str]:
     """Another content under the version held counts as no effect."""
     held = [item for item in call if item.name not in items or item.version != items[item.name].version]
-    return configuration.change(items, held)
+    return configuration.validate_change(items, held)
 
 
 class FirstStays(Registry):
@@ -173,20 +173,20 @@
 
 def unchecked(old: Items, call: Iterable[Item]) -> Result[tuple[Item, ...], str]:
     """Whatever is newer is valid."""
-    return Ok(tuple(item for item in call if item.beats(old.get(item.name))))
+    return Ok(tuple(item for item in call if item.supersedes(old.get(item.name))))
 
 
-def nothing_held_out(rows: Items) -> tuple[Table, list[Clash]]:
+def nothing_held_out(rows: Items) -> tuple[RoutingTable, list[Conflict]]:
     """Routes of no service are in force as well."""
-    made, wrong = configuration.table(rows)
-    hosts = dict(made.hosts)
+    made, wrong = configuration.build_table(rows)
+    hosts = dict(made.routes_by_host)
     for item in rows.values():
         if item.content and item.name.startswith("route/"):
-            route = configuration.build(item)
+            route = configuration.parse_item(item)
             assert isinstance(route, configuration.Route)
             if all(route is not other for _, other in hosts.get(route.host, ())):
                 hosts[route.host] = (*hosts.get(route.host, ()), (route.prefix, route))
-    return made._replace(hosts=pmap(hosts)), wrong
+    return made._replace(routes_by_host=pmap(hosts)), wrong
 
 
 class Unsealed(Member):
--- a/verify/parts.py
+++ b/verify/parts.py
@@ -17,11 +17,11 @@
 from mesh.control.ballot import Member
 from mesh.control.consensus import Plan, Promise, Replica
 from mesh.state import configuration
-from mesh.state.configuration import Clash, Item, Items, Table
+from mesh.state.configuration import Conflict, Item, Items, RoutingTable
 from mesh.state.idempotency import Claim, Registry
 from mesh.state.quorum import Voters
 
-# `mesh.proxy.key_claims.ROUND_TIMEOUT_S` and `mesh.control.context.CLAIM_S`: a test holds them together
+# `mesh.proxy.key_claims.ROUND_TIMEOUT_S` and `mesh.control.context.CLAIM_TIMEOUT_S`: a test holds them together
 CLAIM_S = 1.0
 TICK_S = 0.55  # a step of time: a round may last one of these, and a wiped controller waits for two
 
@@ -31,8 +31,8 @@
     """What a model runs. Each default is the mesh's."""
 
     merge: Callable[[Items, Iterable[Item]], Items] = configuration.merge
-    change: Callable[[Items, Iterable[Item]], Result[tuple[Item, ...], str]] = configuration.change
-    table: Callable[[Items], tuple[Table, list[Clash]]] = configuration.table
+    change: Callable[[Items, Iterable[Item]], Result[tuple[Item, ...], str]] = configuration.validate_change
+    table: Callable[[Items], tuple[RoutingTable, list[Conflict]]] = configuration.build_table
     registry: Callable[[float], Registry] = Registry
     claim: Callable[[int, int, float, float], Claim] = Claim
     voters: Callable[[int, tuple[str, ...]], Voters] = Voters
