--- a/mesh/control/admin_api.py
+++ b/mesh/control/admin_api.py
@@ -1,4 +1,4 @@
-"""The control address: operators' calls, readiness, status (docs/api/mesh.json)."""
+"""The admin API on the control address: configuration changes, readiness, status (docs/api/mesh.json)."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from mesh.figures import LabelledCounts
 from mesh.state import configuration
 
-ANSWER_S = 0.9  # an operator's call is answered within this
-JSON = [(b"Content-Type", b"application/json")]
-AGAIN_S = b"0.1"
+REQUEST_TIMEOUT_S = 0.9  # every configuration request is answered within this time
+JSON_HEADERS = [(b"Content-Type", b"application/json")]
+RETRY_AFTER_S = b"0.1"
 ACKNOWLEDGED = "acknowledged"
 
 
 class AdminApi:
-    """What one controller answers there."""
+    """The admin API of one controller."""
 
     def __init__(self, context: Context, agreement: Agreement, heartbeats: Heartbeats) -> None:
         self._context, self._agreement, self._heartbeats = context, agreement, heartbeats
-        self.orders = LabelledCounts(
+        self.changes = LabelledCounts(
             "mesh_orders", "Operators' changes that were answered, by outcome.", ("outcome",)
         )
 
     def serve(self, message: Message) -> None:
-        """A call on the control address."""
+        """Handles one HTTP request on the control address."""
         path = message.target.partition(b"?")[0]
         if path == b"/-/config" and message.method == b"PATCH":
             self._context.spawn(self._patch(message))
@@ -38,23 +38,23 @@
             ready = self._context.member.counts and self._heartbeats.in_contact
             message.answer(200 if ready else 503)
         elif path == b"/-/status" and message.method == b"GET":
-            message.answer(200, self._status(), JSON)
+            message.answer(200, self._status(), JSON_HEADERS)
         else:
             message.answer(ANSWERS[ErrorKind.NOT_HERE].status)
 
-    def _refuse_change(self, message: Message, error: ErrorKind, why: str = "") -> None:
-        self.orders.add((error.name.lower(),))
-        self._refuse(message, error, why)
+    def _refuse_change(self, message: Message, error: ErrorKind, reason: str = "") -> None:
+        self.changes.add((error.name.lower(),))
+        self._refuse(message, error, reason)
 
     @staticmethod
-    def _refuse(message: Message, error: ErrorKind, why: str = "") -> None:
-        kind = ANSWERS[error]
-        headers = [(b"Retry-After", AGAIN_S)] if kind.promise else []
-        message.answer(kind.status, why.encode() or kind.text, headers)
+    def _refuse(message: Message, error: ErrorKind, reason: str = "") -> None:
+        response = ANSWERS[error]
+        headers = [(b"Retry-After", RETRY_AFTER_S)] if response.promise else []
+        message.answer(response.status, reason.encode() or response.text, headers)
 
     def _status(self) -> bytes:
-        """What an operator wants to know of the voters, as this controller sees them."""
-        context, found = self._context, self._heartbeats.safety
+        """Returns the JSON of the status page: the voters and their health, as this controller sees them."""
+        context, safety = self._context, self._heartbeats.safety
         return json.dumps(
             {
                 "in_contact": self._heartbeats.in_contact,
@@ -62,31 +62,32 @@
                 "epoch": context.voters.epoch,
                 "voters": list(context.voters.names),
                 "away": self._heartbeats.away(),
-                "copies": found.copies,
-                "losses": found.losses,
+                "copies": safety.copies,
+                "losses": safety.losses,
                 "losses_wanted": context.settings.losses,
                 "items": len(self._agreement.copy.items),
             }
         ).encode()
 
     async def _patch(self, message: Message) -> None:
-        # What is invalid on old state may be valid on what stands, so nothing is judged before.
-        if not await self._heartbeats.found(max(0.0, ANSWER_S - ROUND_TIMEOUT_S)):
+        # A change that is invalid on an outdated copy may be valid on the current one, so nothing is
+        # validated without contact with a majority.
+        if not await self._heartbeats.found(max(0.0, REQUEST_TIMEOUT_S - ROUND_TIMEOUT_S)):
             self._refuse_change(message, ErrorKind.NO_QUORUM)
             return
-        read = configuration.parse_change(message.body)
-        if read.is_error():
-            self._refuse_change(message, ErrorKind.INVALID, read.error)
+        change = configuration.parse_change(message.body)
+        if change.is_error():
+            self._refuse_change(message, ErrorKind.INVALID, change.error)
             return
-        outcome = await self._agreement.change(read.ok, ANSWER_S)
+        outcome = await self._agreement.propose_change(change.ok, REQUEST_TIMEOUT_S)
         if outcome.error is not None:
-            self._refuse_change(message, outcome.error, outcome.why)
+            self._refuse_change(message, outcome.error, outcome.reason)
             return
-        self.orders.add((ACKNOWLEDGED,))
-        message.answer(200, b"{}", JSON)
+        self.changes.add((ACKNOWLEDGED,))
+        message.answer(200, b"{}", JSON_HEADERS)
 
     async def _get(self, message: Message) -> None:
-        if not await self._agreement.read(ANSWER_S):
+        if not await self._agreement.confirm_up_to_date(REQUEST_TIMEOUT_S):
             self._refuse(message, ErrorKind.NO_QUORUM)
             return
-        message.answer(200, configuration.whole(self._agreement.copy.items), JSON)
+        message.answer(200, configuration.to_json(self._agreement.copy.items), JSON_HEADERS)
--- a/mesh/control/agreement.py
+++ b/mesh/control/agreement.py
@@ -1,8 +1,8 @@
-"""A controller's part in agreeing on the configuration: carries what `consensus.py` decides.
+"""Reaches agreement on the configuration: the I/O around the rules in `consensus.py`.
 
-It answers proposers, proposes on behalf of an operator's call, reads from as many voters as meet every
-majority, finishes what a proposer that ended has left half way, and compares its copy with others'. Whatever
-it says about its copy lies on its disk first.
+An `Agreement` answers the proposers on other controllers, proposes changes for calls to the admin API, reads
+from enough voters to intersect every majority, completes changes whose proposer has failed, and synchronizes
+its copy with others. Everything it reports about its copy is on its disk first.
 """
 
 from __future__ import annotations
@@ -38,110 +38,120 @@
     matches_checksum,
 )
 
-ROUND_TIMEOUT_S = 0.4  # how long a round waits: the operator waits a second, and a change takes two
-TURN_S = 1.2  # how long a machine keeps other proposers waiting for one that says nothing more
-FINISH_S = 0.5  # a change that is open for longer has lost its proposer
-AGAIN_S = 0.02, 0.08  # pause of a proposer that was refused
-COMPARISON = 0  # the epoch of a question that only compares: nobody answers it as a voter
+ROUND_TIMEOUT_S = 0.4  # the caller waits one second, and a change takes two rounds
+TURN_TIMEOUT_S = 1.2  # how long a silent proposer keeps other proposers out
+OPEN_DRAFT_TIMEOUT_S = 0.5  # a draft that is open for longer has lost its proposer
+RETRY_PAUSE_RANGE_S = 0.02, 0.08  # pause of a proposer after a refused attempt
+COMPARISON_EPOCH = 0  # epoch of a `Fetch` that only compares copies; no controller answers it as a voter
 
 
 class Outcome(NamedTuple):
-    """What became of an operator's call; no error: it is in force."""
+    """Result of a proposed change; without an error the change is in force."""
 
     error: ErrorKind | None = None
-    why: str = ""
+    reason: str = ""
 
 
 class Prepared(NamedTuple):
-    """A majority has promised."""
+    """Result of a successful prepare phase: a majority has promised."""
 
     ballot: Ballot
-    heard: dict[str, Promise]
+    promises: dict[str, Promise]
     plan: consensus.Plan
 
 
 class Agreement:
-    """One controller's copy of the configuration, and its dealings with the other copies.
+    """One controller's copy of the configuration, and its protocol with the other copies.
 
-    `publish` hears of items that are news here.
+    `on_new_items` is called with items that are new to this copy.
     """
 
     def __init__(self, context: Context, peers: Peers) -> None:
         self._context, self._peers = context, peers
         self._loop = context.loop
-        self._life = context.incarnation
-        self.publish: Callable[[list[Item]], None] = lambda items: None
+        self._incarnation = context.incarnation
+        self.on_new_items: Callable[[list[Item]], None] = lambda items: None
         self.replica = Replica()
         self.copy = ConfigurationCopy()  # the items of the replica, with their digests
-        self._turn = Turn(TURN_S)
-        self._highest = self.ballots = 0  # the highest that was seen; those made
-        self._open_since = self._loop.time()
+        self._turn = Turn(TURN_TIMEOUT_S)
+        self._highest_number = self.ballots_started = 0  # highest ballot number that another voter reported
+        self._draft_since = self._loop.time()
         self._finishing = False
-        self._fetching: set[str] = set()
+        self._syncing: set[str] = set()  # peers that a `sync_from` is waiting for
 
-    # --- the copy
+    # --- local copy
 
     def load(self, record: list[Any]) -> None:
-        """One record of the disk, oldest first."""
+        """Applies one record from disk; records come oldest first."""
         self.replica = self.replica.load(record)
 
-    def loaded(self) -> None:
-        """All that was on the disk is loaded."""
+    def finish_loading(self) -> None:
+        """Completes loading once all records from disk have been applied."""
         self.copy.merge(self.replica.items.values())
 
-    def renew(self) -> None:
-        """Others vote now: nobody has the turn."""
-        self._turn = Turn(TURN_S)
+    def reset_turn(self) -> None:
+        """Clears the current proposer's turn after the voters have changed."""
+        self._turn = Turn(TURN_TIMEOUT_S)
 
     def learn(self, items: Iterable[Item], sequence: int) -> None:
-        """Merge what another copy holds, which contains so many changes."""
+        """Merges the items of another copy, which contains the first `sequence` changes."""
         rows = list(items)
-        self._become(self.replica.learn(rows, sequence), rows)
+        self._replace_replica(self.replica.learn(rows, sequence), rows)
 
-    def _become(self, replica: Replica, items: Sequence[Item]) -> None:
-        """Swap the copy, write down what is news, and tell sidecars: what is in a copy was chosen, so a loss
-        of power takes it from nobody."""
+    def _replace_replica(self, replica: Replica, items: Sequence[Item]) -> None:
+        """Replaces the replica, writes new items to disk and publishes them.
+
+        Items are published before they are on this disk: an item in a copy was chosen, so a majority holds it
+        and a power failure here can't lose it.
+        """
         before, self.replica = self.replica, replica
-        news = self.copy.merge(items)
-        for item in news:
+        new_items = self.copy.merge(items)
+        for item in new_items:
             self._context.write(["item", list(item)])
         if replica.sequence != before.sequence:
             self._context.write(["sequence", replica.sequence])
-        if news:
-            self.publish(news)
+        if new_items:
+            self.on_new_items(new_items)
 
-    def lacking(self, buckets: bytes) -> tuple[Item, ...]:
-        """Items that another copy with these digests may lack."""
-        return tuple(self.copy.differing(buckets))
+    def missing_items(self, bucket_digests: bytes) -> tuple[Item, ...]:
+        """Returns the items that a copy with these bucket digests may lack."""
+        return tuple(self.copy.items_differing_from(bucket_digests))
 
-    # --- answers to others
+    # --- acceptor: requests of other controllers
 
     def _promise(self, epoch: int, ballot: Ballot, done: Callable[[bool], None]) -> bool:
-        """Promise, if it is the proposer's turn; `done` hears once that lies on the disk. False: refused."""
+        """Promises a ballot if it is the proposer's turn.
+
+        Returns False if the promise is refused; otherwise `done` is called when the promise is on disk.
+        """
         votes = self._context.member.votes(epoch)
         if not votes or not self._turn.take(self._loop.time(), ballot.who):
             return False
-        made = self.replica.prepare(ballot)
-        if made is None:
+        promised = self.replica.prepare(ballot)
+        if promised is None:
             self._turn.over(ballot.who)
             return False
-        self.replica = made
+        self.replica = promised
         self._context.write(["promise", *ballot], done)
         return True
 
-    def answer_prepare(self, link: PeerConnection, asked: Prepare) -> None:
-        """A proposer asks for a promise."""
-        sequence, draft, items = self.replica.sequence, self.replica.open_draft, self.lacking(asked.buckets)
+    def on_prepare(self, connection: PeerConnection, request: Prepare) -> None:
+        """Handles a proposer's request for a promise."""
+        sequence, draft, items = (
+            self.replica.sequence,
+            self.replica.open_draft,
+            self.missing_items(request.buckets),
+        )
 
-        def tell(yes: bool) -> None:
+        def respond(yes: bool) -> None:
             promised = self.replica.promised.number
-            answer = PrepareAnswer(asked.round, yes, asked.epoch, promised)
+            answer = PrepareAnswer(request.round, yes, request.epoch, promised)
             if yes:
-                answer = PrepareAnswer(asked.round, yes, asked.epoch, promised, sequence, draft, items)
-            link.send(answer)
+                answer = PrepareAnswer(request.round, yes, request.epoch, promised, sequence, draft, items)
+            connection.send(answer)
 
-        if not self._promise(asked.epoch, asked.ballot, tell):
-            tell(False)
+        if not self._promise(request.epoch, request.ballot, respond):
+            respond(False)
 
     def _accept(
         self,
@@ -151,46 +161,46 @@
         items: tuple[Item, ...],
         done: Callable[[bool], None],
     ) -> None:
-        """Accept a change in this copy; `done` hears whether it is so, on the disk."""
-        made = self.replica.accept(ballot, sequence, items)
-        if not self._context.member.votes(epoch) or made is None or made.draft is None:
+        """Accepts a change in this copy; `done` is called with whether it is accepted and on disk."""
+        accepted = self.replica.accept(ballot, sequence, items)
+        if not self._context.member.votes(epoch) or accepted is None or accepted.draft is None:
             done(False)
             return
-        self.replica = made
-        self._open_since = self._loop.time()
-        self._context.write(["draft", made.draft.row()], done)
-
-    def answer_accept(self, link: PeerConnection, asked: Accept) -> None:
-        """A proposer asks to accept a change."""
-        if asked.base:  # this copy is behind: all that was chosen before comes with the change
-            self.learn(asked.base, asked.sequence - 1)
+        self.replica = accepted
+        self._draft_since = self._loop.time()
+        self._context.write(["draft", accepted.draft.row()], done)
+
+    def on_accept(self, connection: PeerConnection, request: Accept) -> None:
+        """Handles a proposer's request to accept a change."""
+        if request.base:  # this copy is behind: the request carries everything chosen before the change
+            self.learn(request.base, request.sequence - 1)
         self._accept(
-            asked.epoch,
-            asked.ballot,
-            asked.sequence,
-            asked.items,
-            lambda yes: link.send(AcceptAnswer(asked.round, yes, asked.epoch)),
+            request.epoch,
+            request.ballot,
+            request.sequence,
+            request.items,
+            lambda yes: connection.send(AcceptAnswer(request.round, yes, request.epoch)),
         )
 
-    def hear_commit(self, told: Commit) -> None:
-        """A change was chosen."""
-        self._turn.over(told.ballot.who)
-        self._become(self.replica.commit(told.sequence, told.items), told.items)
+    def on_commit(self, message: Commit) -> None:
+        """Handles the message that a change was chosen."""
+        self._turn.over(message.ballot.who)
+        self._replace_replica(self.replica.commit(message.sequence, message.items), message.items)
 
-    def hear_abandon(self, told: Abandon) -> None:
-        """A proposer proposes nothing under its ballot."""
-        self._turn.over(told.proposer)
+    def on_abandon(self, message: Abandon) -> None:
+        """Handles the message that a proposer has given up its ballot."""
+        self._turn.over(message.proposer)
 
-    def answer_fetch(self, link: PeerConnection, asked: Fetch) -> None:
-        """Tell what this copy holds, and whether it answers as a voter of the epoch, or as a sealed one."""
+    def on_fetch(self, connection: PeerConnection, request: Fetch) -> None:
+        """Sends what this copy holds, and whether it answers as a voter, or a sealed voter, of the epoch."""
 
-        def tell(yes: bool) -> None:
-            replica, items = self.replica, self.lacking(asked.buckets)
-            link.send(
+        def respond(yes: bool) -> None:
+            replica, items = self.replica, self.missing_items(request.buckets)
+            connection.send(
                 FetchAnswer(
-                    round=asked.round,
+                    round=request.round,
                     yes=yes,
-                    epoch=asked.epoch,
+                    epoch=request.epoch,
                     sequence=replica.sequence,
                     items=items,
                     draft=replica.open_draft,
@@ -199,117 +209,129 @@
                 )
             )
 
-        if asked.sealed:
-            self._context.confirm_sealed(asked.epoch, tell)
+        if request.sealed:
+            self._context.confirm_sealed(request.epoch, respond)
         else:
-            tell(self._context.member.votes(asked.epoch))
+            respond(self._context.member.votes(request.epoch))
 
-    # --- questions to others
+    # --- requests to other controllers
 
     async def fetch(self, voters: Voters, need: int, own: bool, sealed: bool = False) -> bool:
-        """Take over what so many voters hold, have accepted and have promised; `own`: this one counts."""
-        heard = await self._hear(voters, need - own, sealed)
-        if heard is None:
+        """Adopts what `need` voters hold, have accepted and have promised.
+
+        With `own` this controller counts as one of them. Returns False if too few answered.
+        """
+        answers = await self._fetch_answers(voters, need - own, sealed)
+        if answers is None:
             return False
-        for answer in heard.values():
+        for answer in answers.values():
             self.replica = self.replica.adopt(answer.draft, answer.promised)
         return True
 
-    async def _hear(self, voters: Voters, need: int, sealed: bool) -> dict[str, FetchAnswer] | None:
-        """What so many voters hold, have accepted and have promised; None where they were too few."""
-        heard: dict[str, FetchAnswer] = {}
+    async def _fetch_answers(self, voters: Voters, need: int, sealed: bool) -> dict[str, FetchAnswer] | None:
+        """Merges the items of other voters and returns the answers that count; None if fewer than `need`."""
+        answers: dict[str, FetchAnswer] = {}
 
-        def take(name: str, answer: FetchAnswer) -> bool:
+        def on_answer(name: str, answer: FetchAnswer) -> bool:
             if not matches_checksum(answer.items, answer.checksum):
                 return False
             yes = answer.yes and answer.epoch == voters.epoch
             self.learn(answer.items, answer.sequence)
             if yes:
-                heard[name] = answer
+                answers[name] = answer
             return yes
 
-        rounds, links = self._context.rounds, self._peers.of(voters)
-        number, made = rounds.open(need, len(links), ROUND_TIMEOUT_S, take)
+        rounds, connections = self._context.rounds, self._peers.of(voters)
+        number, round_ = rounds.open(need, len(connections), ROUND_TIMEOUT_S, on_answer)
         packed = pack(Fetch(number, voters.epoch, sealed, self.copy.bucket_digests()))
-        for link in links:
-            link.send_packed(packed)
+        for connection in connections:
+            connection.send_packed(packed)
         try:
-            return heard if await made.wait_for_quorum() else None
+            return answers if await round_.wait_for_quorum() else None
         finally:
             rounds.close(number)
 
-    async def sync_from(self, link: PeerConnection) -> bool:
-        """Take over what one other holds; whether it has answered. One question at a time."""
-        if link.peer in self._fetching:
+    async def sync_from(self, connection: PeerConnection) -> bool:
+        """Merges what one other controller holds and returns whether it has answered.
+
+        Only one such request per peer is open at a time; a second one returns False.
+        """
+        if connection.peer in self._syncing:
             return False
 
-        def take(name: str, answer: FetchAnswer) -> bool:
+        def on_answer(name: str, answer: FetchAnswer) -> bool:
             if not matches_checksum(answer.items, answer.checksum):
                 return False
             self.learn(answer.items, answer.sequence)
             return True
 
         rounds = self._context.rounds
-        number, made = rounds.open(1, 1, ROUND_TIMEOUT_S, take)
-        self._fetching.add(link.peer)
-        link.send(Fetch(number, COMPARISON, False, self.copy.bucket_digests()))
+        number, round_ = rounds.open(1, 1, ROUND_TIMEOUT_S, on_answer)
+        self._syncing.add(connection.peer)
+        connection.send(Fetch(number, COMPARISON_EPOCH, False, self.copy.bucket_digests()))
         try:
-            return await made.wait_for_quorum()
+            return await round_.wait_for_quorum()
         finally:
-            self._fetching.discard(link.peer)
+            self._syncing.discard(connection.peer)
             rounds.close(number)
 
-    async def read(self, limit_s: float) -> bool:
-        """Whether this copy holds all that was acknowledged until now, as so many voters say as meet every
-        majority. A change that may have been chosen is finished first."""
-        ends = self._loop.time() + limit_s
+    async def confirm_up_to_date(self, timeout_s: float) -> bool:
+        """Returns whether this copy holds everything acknowledged before the call.
+
+        Reads from enough voters to intersect every majority, and first completes a change that may have been
+        chosen.
+        """
+        deadline = self._loop.time() + timeout_s
         while True:
             voters = self._context.voters
-            heard = (
-                await self._hear(voters, voters.read - self._context.is_voter, False)
+            answers = (
+                await self._fetch_answers(voters, voters.read - self._context.is_voter, False)
                 if voters.epoch
                 else None
             )
-            if heard is not None:
-                if self._unfinished(heard) is None:
+            if answers is not None:
+                if self._unfinished(answers) is None:
                     return True
                 await self._attempt(None)
-            if self._loop.time() > ends - ROUND_TIMEOUT_S:
+            if self._loop.time() > deadline - ROUND_TIMEOUT_S:
                 return False
             await self._pause()
 
-    def _unfinished(self, heard: dict[str, FetchAnswer]) -> Draft | None:
-        """A change that may have been chosen and is not among the items yet."""
-        promises = {name: Promise(answer.sequence, answer.draft) for name, answer in heard.items()}
+    def _unfinished(self, answers: dict[str, FetchAnswer]) -> Draft | None:
+        """Returns a change that may have been chosen and is not among the items yet."""
+        promises = {name: Promise(answer.sequence, answer.draft) for name, answer in answers.items()}
         promises[self._context.me] = Promise(self.replica.sequence, self.replica.open_draft)
         return consensus.plan(promises, self.replica.sequence).unfinished
 
-    async def change(self, call: tuple[Item, ...], limit_s: float) -> Outcome:
-        """Have an operator's call agreed on."""
-        ends = self._loop.time() + limit_s
+    async def propose_change(self, call: tuple[Item, ...], timeout_s: float) -> Outcome:
+        """Proposes the items of an admin call until they are agreed on, invalid, or the time is up."""
+        deadline = self._loop.time() + timeout_s
         while True:
             outcome = await self._attempt(call)
             if outcome is not None:
                 return outcome
-            if self._loop.time() > ends - ROUND_TIMEOUT_S:
+            if self._loop.time() > deadline - ROUND_TIMEOUT_S:
                 return Outcome(ErrorKind.NO_QUORUM)
             await self._pause()
 
     @staticmethod
     async def _pause() -> None:
-        least, most = AGAIN_S
-        await asyncio.sleep(least + (most - least) * random.random())
+        min_pause_s, max_pause_s = RETRY_PAUSE_RANGE_S
+        await asyncio.sleep(min_pause_s + (max_pause_s - min_pause_s) * random.random())
 
     async def _attempt(self, call: tuple[Item, ...] | None) -> Outcome | None:
-        """One try; None where it has to come again. Without a call only what is unfinished is finished."""
+        """Runs one proposal and returns its outcome, or None if it has to be retried.
+
+        Without a call it only completes an unfinished change.
+        """
         voters = self._context.voters
         prepared = await self._prepare(voters) if voters.epoch else None
         if prepared is None:
             return None
-        ballot, _, found = prepared
-        if found.unfinished is not None:
-            logger.info("a change that was left half way is finished", sequence=found.sequence + 1)
-            await self._propose(voters, prepared, found.unfinished.items)
+        ballot, _, plan = prepared
+        if plan.unfinished is not None:
+            logger.info("a change that was left half way is finished", sequence=plan.sequence + 1)
+            await self._propose(voters, prepared, plan.unfinished.items)
             return None
         change = configuration.validate_change(self.replica.items, call or ())
         if change.is_ok() and change.ok:
@@ -318,102 +340,115 @@
         return Outcome(ErrorKind.INVALID, change.error) if change.is_error() else Outcome()
 
     def _expected_responses(self, voters: Voters) -> int:
-        """Voters whose answers are waited for. One that is cut off is asked as well, but where no majority is
-        left without one that has refused, the try is over: kept open for the rest of its time, two proposers
-        at once would keep each other out, each with the turn of one voter."""
+        """Returns how many voters a round waits for.
+
+        Silent voters get the request too, but are not waited for: the attempt ends as soon as the live voters
+        that have not refused are no majority. Kept open until its timeout, two proposers at once would block
+        each other, each holding the turn of one voter.
+        """
         live = [name for name in self._peers.live() if name in voters.names]
         return max(voters.write, len(live) + (self._context.me in voters.names))
 
     async def _prepare(self, voters: Voters) -> Prepared | None:
-        """Have a majority promise under a new ballot."""
+        """Runs the prepare phase under a new ballot; None if no majority promises."""
         me, rounds = self._context.me, self._context.rounds
-        self.ballots += 1
-        number = max(self.replica.promised.number, self._highest) + 1
-        ballot = Ballot(number, f"{me}/{self._life}/{self.ballots}")
-        heard: dict[str, Promise] = {}
+        self.ballots_started += 1
+        ballot_number = max(self.replica.promised.number, self._highest_number) + 1
+        ballot = Ballot(ballot_number, f"{me}/{self._incarnation}/{self.ballots_started}")
+        promises: dict[str, Promise] = {}
 
-        def take(name: str, answer: PrepareAnswer) -> bool:
+        def on_answer(name: str, answer: PrepareAnswer) -> bool:
             if not answer.yes or answer.epoch != voters.epoch:
-                self._highest = max(self._highest, answer.promised)
+                self._highest_number = max(self._highest_number, answer.promised)
                 return False
             self.learn(answer.items, answer.sequence)
-            heard[name] = Promise(answer.sequence, answer.draft)
+            promises[name] = Promise(answer.sequence, answer.draft)
             return True
 
-        links = self._peers.of(voters)
+        connections = self._peers.of(voters)
         own = me in voters.names
-        number, made = rounds.open(voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, take)
+        number, round_ = rounds.open(
+            voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, on_answer
+        )
 
-        def promised(ok: bool) -> None:
-            if ok:
-                heard[me] = mine
-                made.add_yes(me)
+        def on_own_promise(written: bool) -> None:
+            if written:
+                promises[me] = own_promise
+                round_.add_yes(me)
             else:
-                made.add_no(me)
+                round_.add_no(me)
 
-        mine = Promise(self.replica.sequence, self.replica.open_draft)
+        own_promise = Promise(self.replica.sequence, self.replica.open_draft)
         packed = pack(Prepare(number, voters.epoch, ballot, self.copy.bucket_digests()))
-        for link in links:
-            link.send_packed(packed)
-        if own and not self._promise(voters.epoch, ballot, promised):
-            made.add_no(me)
+        for connection in connections:
+            connection.send_packed(packed)
+        if own and not self._promise(voters.epoch, ballot, on_own_promise):
+            round_.add_no(me)
         try:
-            if await made.wait_for_quorum():
-                return Prepared(ballot, heard, consensus.plan(heard, self.replica.sequence))
+            if await round_.wait_for_quorum():
+                return Prepared(ballot, promises, consensus.plan(promises, self.replica.sequence))
         finally:
             rounds.close(number)
         self._abandon(voters, ballot)
         return None
 
     async def _propose(self, voters: Voters, prepared: Prepared, items: tuple[Item, ...]) -> bool:
-        """Have a change accepted by a majority, and then tell all that it was chosen."""
-        ballot, heard, found = prepared
-        sequence = found.sequence + 1
-        if self.replica.sequence != found.sequence:
-            self._abandon(voters, ballot)  # this copy has come further since
+        """Runs the accept phase, and commits the change if a majority accepts it."""
+        ballot, promises, plan = prepared
+        sequence = plan.sequence + 1
+        if self.replica.sequence != plan.sequence:
+            self._abandon(voters, ballot)  # this copy has advanced since the prepare phase
             return False
 
-        def take(name: str, answer: AcceptAnswer) -> bool:
+        def on_answer(name: str, answer: AcceptAnswer) -> bool:
             return answer.yes and answer.epoch == voters.epoch
 
         me, rounds = self._context.me, self._context.rounds
-        links = self._peers.of(voters)
+        connections = self._peers.of(voters)
         own = me in voters.names
-        number, made = rounds.open(voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, take)
-        for link in links:
-            promise = heard.get(link.peer)
-            behind = promise is not None and promise.sequence < found.sequence
+        number, round_ = rounds.open(
+            voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, on_answer
+        )
+        for connection in connections:
+            promise = promises.get(connection.peer)
+            behind = promise is not None and promise.sequence < plan.sequence
             base = tuple(self.replica.items.values()) if behind else ()
-            link.send(Accept(number, voters.epoch, ballot, sequence, items, base))
+            connection.send(Accept(number, voters.epoch, ballot, sequence, items, base))
         if own:
             self._accept(
-                voters.epoch, ballot, sequence, items, lambda ok: made.add_yes(me) if ok else made.add_no(me)
+                voters.epoch,
+                ballot,
+                sequence,
+                items,
+                lambda accepted: round_.add_yes(me) if accepted else round_.add_no(me),
             )
         try:
-            chosen = await made.wait_for_quorum()
+            chosen = await round_.wait_for_quorum()
         finally:
             rounds.close(number)
         if not chosen:
             self._abandon(voters, ballot)
             return False
         self._turn.over(ballot.who)
-        self._become(self.replica.commit(sequence, items), items)
+        self._replace_replica(self.replica.commit(sequence, items), items)
         self._peers.send(Commit(ballot, sequence, items))
         return True
 
     def _abandon(self, voters: Voters, ballot: Ballot) -> None:
-        """Let others propose."""
+        """Gives up a ballot so that other proposers need not wait for its turn to time out."""
         self._turn.over(ballot.who)
         packed = pack(Abandon(ballot.who))
-        for link in self._peers.of(voters):
-            link.send_packed(packed)
+        for connection in self._peers.of(voters):
+            connection.send_packed(packed)
+
+    async def finish_open_draft(self) -> None:
+        """Completes an accepted change that has been open for too long.
 
-    async def finish(self) -> None:
-        """Finish what was accepted here and has been open for too long: its proposer may have ended after it
-        had said 200."""
+        Its proposer may have failed after it had acknowledged the change with 200.
+        """
         if self._finishing or self.replica.open_draft is None:
             return
-        if self._loop.time() < self._open_since + FINISH_S * (1 + random.random()):
+        if self._loop.time() < self._draft_since + OPEN_DRAFT_TIMEOUT_S * (1 + random.random()):
             return
         self._finishing = True
         try:
--- a/mesh/control/context.py
+++ b/mesh/control/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one controller share: settings, clock, disk, tasks, and its word as a voter."""
+"""State that the components of one controller share: settings, clock, disk, tasks, and voter membership."""
 
 from __future__ import annotations
 
@@ -13,76 +13,83 @@
 from mesh.state.quorum import Voters
 from mesh.storage.record_store import RecordStore
 
-# A round of claims or ballots is void after so long; a controller without its disk waits as long.
+# Rounds of claims and of reconfigurations are void after this time; a wiped controller waits as long before
+# it votes.
 CLAIM_TIMEOUT_S = 1.0
 
 
 class Context:
-    """One process's. `state` tells all records that still count, for the disk."""
+    """Shared state of one controller process.
 
-    def __init__(self, settings: Settings, state: Callable[[], Iterable[Any]]) -> None:
+    `all_records` yields all records that are still needed, when the record store rewrites its file.
+    """
+
+    def __init__(self, settings: Settings, all_records: Callable[[], Iterable[Any]]) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.me = settings.peer_address.text
-        self.incarnation = int(time.time() * 1000)  # of this process: later ones are greater
+        self.incarnation = int(time.time() * 1000)  # a later run of the process has a greater one
         self.member = Member(self.me)
         self.rounds = Rounds()
-        self.store = RecordStore(settings.data_dir or "/tmp/record_store", state)
+        self.store = RecordStore(settings.data_dir or "/tmp/record_store", all_records)
         self.stopping = False
-        self._anchor = time.time() - self.loop.time()
+        self._wall_offset_s = time.time() - self.loop.time()
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def voters(self) -> Voters:
-        """Whose disks count."""
+        """The voters of the current epoch."""
         return self.member.voters
 
     @property
     def is_voter(self) -> bool:
-        """Whether this controller may answer as a voter of the present epoch."""
+        """Whether this controller may answer as a voter of the current epoch."""
         return self.member.votes(self.voters.epoch)
 
     @property
     def absence_timeout_s(self) -> float:
-        """One that was not seen for so long is not about to return; with four times that it is forgotten."""
+        """Silence after which a controller is not expected to return soon; after four times as long it is
+        forgotten."""
         return 2 * (self.settings.bound("catch_up", 4.0) + self.settings.bound("contact", 3.0))
 
     @property
     def membership_delays(self) -> Patience:
-        """How long others have to be away, or there, before the voters change.
+        """How long other controllers have to be absent, or present, before the voters change.
 
-        A new machine stops counting as lost `catch_up` after its start: by then it has to have taken the
-        place of the one before, which is found to be gone within half of that. Where no spare is there a
-        voter keeps its place for longer, as its copy is worth more than a smaller majority.
+        A new machine stops counting as lost `catch_up` after its start: by then it has to have replaced its
+        predecessor, whose absence is detected within half of that time. Without a spare, a voter keeps its
+        place for longer, as its copy is worth more than a smaller majority.
         """
         catch_up = self.settings.bound("catch_up", 4.0)
         return Patience(catch_up / 2, self.absence_timeout_s, catch_up / 10)
 
     def wall_time(self) -> float:
-        """Time of day that never steps: read once, carried on by the steady clock."""
-        return self._anchor + self.loop.time()
+        """Returns a time of day that never steps: read once at start, advanced by the monotonic clock."""
+        return self._wall_offset_s + self.loop.time()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run something in the background, and keep it until it ends."""
+        """Runs a coroutine in the background and keeps a reference to its task until it ends."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def write(self, record: list[Any], done: Callable[[bool], None] | None = None) -> None:
-        """Have a record written; `done` hears whether it lies on the disk."""
+        """Queues a record for the disk; `done` is called with whether it was written and synced."""
         self.store.put(record, done)
 
     def write_membership(self, done: Callable[[bool], None] | None = None) -> None:
-        """Write down this controller's word on who votes."""
+        """Writes this controller's membership state to disk."""
         *first, last = self.member.records()
         for record in first:
             self.store.put(record)
         self.store.put(last, done)
 
-    def confirm_sealed(self, epoch: int, tell: Callable[[bool], None]) -> None:
-        """Tell whether this controller is sealed, and whole, in an epoch: for good, so it lies on the
-        disk."""
+    def confirm_sealed(self, epoch: int, respond: Callable[[bool], None]) -> None:
+        """Reports whether this controller was sealed and caught up in an epoch.
+
+        A positive answer is final, so it is on disk before it is given.
+        """
         if self.member.holds(epoch):
-            self.write_membership(lambda ok: tell(ok and self.member.holds(epoch)))
+            self.write_membership(lambda written: respond(written and self.member.holds(epoch)))
         else:
-            tell(False)
+            respond(False)
--- a/mesh/control/controller.py
+++ b/mesh/control/controller.py
@@ -1,6 +1,6 @@
-"""The controller: one process with a disk. It takes orders, agrees on them with others, tells sidecars, and
-grants operation keys. This module puts its parts together and hands each message to the one that it is
-for."""
+"""The controller: a process with a disk that takes configuration changes, agrees on them with other
+controllers, publishes them to sidecars, and grants operation keys. This module assembles its components and
+dispatches messages to them."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 from mesh.transport.connection import PeerConnection
 from mesh.transport.messages import Answer, Message
 
-OVERSEE_S = 0.25  # how often it is looked whether the voters are as they should be
-STOP_S = 0.3  # a controller that ends goes on answering for so long
-KILLED_S = 1.2  # of the grace that is left over when a controller ends, at the least
-SILENCE_BEATS = 3  # heartbeats that another may miss before it counts as silent
+CHECK_INTERVAL_S = 0.25  # between checks of the voters and of open drafts
+DRAIN_S = 0.3  # how long a stopping controller goes on answering
+MIN_KILL_MARGIN_S = 1.2  # part of the grace period that is left unused, so that the process ends by itself
+MAX_MISSED_HEARTBEATS = 3  # a peer that misses more counts as silent
 
 Handler = Callable[[PeerConnection, Any], None]
 
 
 class Controller:
-    """One process of the role."""
+    """One process in the controller role."""
 
     def __init__(self, settings: Settings) -> None:
         self.context = context = Context(settings, self._records)
-        beat_s = settings.bound("contact", 3.0) * HEARTBEAT_PART
-        self.peers = Peers(context, self, SILENCE_BEATS * beat_s)
+        heartbeat_s = settings.bound("contact", 3.0) * HEARTBEAT_PART
+        self.peers = Peers(context, self, MAX_MISSED_HEARTBEATS * heartbeat_s)
         self.agreement = Agreement(context, self.peers)
         self.heartbeats = Heartbeats(context, self.peers, self.agreement)
         self.grants = KeyGrants(context, self.heartbeats)
@@ -61,79 +61,79 @@
             self.grants,
             lambda voters: self.learn_voters(voters, ()),
             self._records,
-            self._whole,
+            self._on_caught_up,
         )
         self.api = AdminApi(context, self.agreement, self.heartbeats)
-        self.agreement.publish = self.publisher.publish
-        self.heartbeats.on_contact = self.publisher.contact
+        self.agreement.on_new_items = self.publisher.publish
+        self.heartbeats.on_contact = self.publisher.on_contact
         self.heartbeats.on_renewed = self.grants.retry
-        self._handlers = self._by_kind()
+        self._handlers = self._handlers_by_type()
 
-    def _by_kind(self) -> dict[type[Message], Handler]:
-        """Whom each kind of message is for. Answers to rounds go to their round."""
+    def _handlers_by_type(self) -> dict[type[Message], Handler]:
+        """Returns the handler of each message type. Answers go to their round instead."""
         agreement, grants, elections = self.agreement, self.grants, self.elections
         return {
             messages.ClaimKey: grants.claim,
-            messages.KeyDone: lambda link, told: grants.done(told),
-            messages.FreeKey: lambda link, told: grants.free(told),
-            messages.KeyBroken: lambda link, told: grants.broke(told),
-            messages.Prepare: agreement.answer_prepare,
-            messages.Accept: agreement.answer_accept,
-            messages.Commit: lambda link, told: agreement.hear_commit(told),
-            messages.Abandon: lambda link, told: agreement.hear_abandon(told),
-            messages.Fetch: agreement.answer_fetch,
+            messages.KeyDone: lambda link, message: grants.done(message),
+            messages.FreeKey: lambda link, message: grants.free(message),
+            messages.KeyBroken: lambda link, message: grants.broke(message),
+            messages.Prepare: agreement.on_prepare,
+            messages.Accept: agreement.on_accept,
+            messages.Commit: lambda link, message: agreement.on_commit(message),
+            messages.Abandon: lambda link, message: agreement.on_abandon(message),
+            messages.Fetch: agreement.on_fetch,
             messages.FetchGrants: self.recovery.answer_grants,
             messages.Hello: self.peers.hear_hello,
-            messages.Forgotten: lambda link, told: self.peers.live_on(told.incarnation),
+            messages.Forgotten: lambda link, message: self.peers.live_on(message.incarnation),
             messages.Bid: elections.answer,
             messages.Seal: elections.answer,
             messages.AskView: elections.answer_view,
-            messages.Successor: lambda link, told: elections.hear_successor(told),
+            messages.Successor: lambda link, message: elections.hear_successor(message),
             messages.Heartbeat: self.heartbeats.answer,
             messages.HeartbeatAnswer: self.heartbeats.hear,
-            messages.Register: self.publisher.register,
-            messages.Follow: self.publisher.follow,
-            messages.Pull: self.publisher.pull,
-            messages.PullRecords: self.publisher.pull_records,
-            messages.ItemsReceived: self.publisher.received,
+            messages.Register: self.publisher.on_register,
+            messages.Follow: self.publisher.on_follow,
+            messages.Pull: self.publisher.on_pull,
+            messages.PullRecords: self.publisher.on_pull_records,
+            messages.ItemsReceived: self.publisher.on_items_received,
         }
 
-    # --- what is known here
+    # --- state
 
     @property
     def settings(self) -> Settings:
-        """What this process was told last."""
+        """The settings that were read last."""
         return self.context.settings
 
     @property
     def items(self) -> configuration.Items:
-        """The configuration as it stands here."""
+        """The configuration as this controller holds it."""
         return self.agreement.replica.items
 
     @property
     def voters(self) -> Voters:
-        """Whose disks count."""
+        """The voters of the current epoch."""
         return self.context.voters
 
     @property
-    def counts(self) -> bool:
-        """Whether this disk is whole as things stand."""
+    def caught_up(self) -> bool:
+        """Whether this disk holds everything that the current epoch requires."""
         return self.context.member.counts
 
     @property
     def in_contact(self) -> bool:
-        """Whether a majority of the voters has been heard lately."""
+        """Whether a majority of the voters has answered recently."""
         return self.heartbeats.in_contact
 
     def _records(self) -> Iterable[list[Any]]:
-        """All records that still count, for the disk."""
+        """Yields all records that are still needed on disk."""
         yield from self.context.member.records()
         yield from self.agreement.replica.records()
         yield from self.grants.records()
 
     def figures(self) -> Iterable[Figure]:
-        """What this process tells of itself."""
-        return controller_figures.figures(
+        """Returns the metrics of this process."""
+        return controller_figures.metrics(
             self.context,
             self.peers,
             self.agreement,
@@ -145,28 +145,31 @@
             self.api,
         )
 
-    # --- start and end
+    # --- start and stop
 
     async def start(self) -> None:
-        """Read the disk, listen, find the others."""
+        """Loads the disk, listens, and connects to the other controllers."""
         settings = self.settings
-        fresh = self._load()
+        disk_empty = self._load()
         self._server = await connection.listen(
-            settings.peer_address, self.hear, lambda link: None, self.publisher.left
+            settings.peer_address, self.hear, lambda link: None, self.publisher.on_disconnect
         )
         assert settings.control is not None
         self._http_server = await http_server.open_http_server(settings.control, self.api.serve)
         for address in [*settings.seed_peers, *self.voters.names, *self.context.member.before]:
             self.peers.know(address)
-        self.context.spawn(self.recovery.begin(fresh))
+        self.context.spawn(self.recovery.begin(disk_empty))
         self.context.spawn(self.heartbeats.run())
-        self.context.spawn(self._oversee())
+        self.context.spawn(self._check_periodically())
         keys = len(self.grants.registry)
-        logger.info("controller listens", counts=self.counts, items=len(self.items), keys=keys)
+        logger.info("controller listens", counts=self.caught_up, items=len(self.items), keys=keys)
 
     def _load(self) -> bool:
-        """Read the disk. True where nothing at all lies there: at the first start, or where the process
-        before ended before anything was written. One that had written anything is whole."""
+        """Loads all records and returns whether the disk was empty.
+
+        It is empty at the first start, and if the previous process ended before its first write. A disk with
+        any record is complete.
+        """
         records = self.context.store.load()
         for record in records:
             kind = record[0]
@@ -176,63 +179,63 @@
                 self.context.member.load(record)
             else:
                 self.grants.load(record)
-        self.agreement.loaded()
+        self.agreement.finish_loading()
         if self.settings.first_start:
             self.context.member.settle(1)
         return not records
 
     def resettle(self, settings: Settings) -> None:
-        """Take over what may change while this process runs: seeds and bounds. The rest needs a restart."""
+        """Applies the settings that can change at run time: seeds and bounds. Others need a restart."""
         self.context.settings = settings
         for seed in settings.seed_peers:
             self.peers.know(seed)
 
     async def stop(self) -> None:
-        """Hand over what this controller alone may hold, answer what is under way, then end."""
+        """Hands over this controller's duties, answers open requests, and closes its listener."""
         self.context.stopping = True
         self.elections.name_successor()
         grace_s = self.settings.bound("grace", 6.0)
-        await self.elections.hand_over(grace_s - STOP_S - KILLED_S)
+        await self.elections.hand_over(grace_s - DRAIN_S - MIN_KILL_MARGIN_S)
         self._http_server.listener.last_requests()
-        await asyncio.sleep(STOP_S)
+        await asyncio.sleep(DRAIN_S)
         self._http_server.listener.shut()
 
-    async def _oversee(self) -> None:
-        """Look now and then whether others should vote, and whether a change was left half way here."""
+    async def _check_periodically(self) -> None:
+        """Checks at jittered intervals for silent peers, due reconfigurations and open drafts."""
         while True:
-            await asyncio.sleep(OVERSEE_S * (0.75 + random.random() / 2))
+            await asyncio.sleep(CHECK_INTERVAL_S * (0.75 + random.random() / 2))
             self.peers.forget_silent()
             self.elections.consider()
             if self.in_contact and self.context.is_voter:
-                await self.agreement.finish()
+                await self.agreement.finish_open_draft()
 
-    # --- news
+    # --- events
 
     def hear(self, link: PeerConnection, message: Message) -> None:
-        """One message of another process."""
+        """Dispatches one message of another process."""
         if isinstance(message, Answer):
-            self.context.rounds.answer(link.peer, message)
+            self.context.rounds.handle_answer(link.peer, message)
             return
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(link, message)
 
     def peers_changed(self) -> None:
-        """Another set of controllers is known."""
+        """Tells the sidecars that the set of known controllers has changed."""
         self.publisher.send(self.peers.controllers())
 
     def may_count(self, links: Iterable[PeerConnection]) -> None:
-        """These peers may have begun to count."""
+        """Sends a heartbeat to peers that may have caught up."""
         self.heartbeats.send(links)
 
     def learn_voters(self, told: Voters, before: tuple[str, ...]) -> None:
-        """Learn who votes."""
+        """Takes over a newer set of voters; `before` are the voters of the epoch before it."""
         context = self.context
         if not context.member.learn(told, before):
             return
         self.elections.learned()
         self.heartbeats.lease.clear()
-        self.agreement.renew()
+        self.agreement.reset_turn()
         logger.info("voters", epoch=told.epoch, names=list(told.names))
         if len(told.names) < 2 * self.settings.losses + 1:
             logger.warning(
@@ -246,11 +249,11 @@
         self.publisher.send(self.elections.told_voters())
         self.heartbeats.send(self.peers.linked.values())
         self.grants.retry()
-        if not self.counts:
+        if not self.caught_up:
             context.spawn(self.recovery.settle())
 
-    def _whole(self) -> None:
-        """This controller counts from now on."""
+    def _on_caught_up(self) -> None:
+        """Announces that this controller has caught up and may answer as a voter."""
         self.peers.send_hello()
         self.heartbeats.send(self.peers.linked.values())
         self.heartbeats.look()
--- a/mesh/control/controller_figures.py
+++ b/mesh/control/controller_figures.py
@@ -1,4 +1,4 @@
-"""What a controller tells of itself to whoever watches it."""
+"""Metrics of one controller."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mesh.figures import Figure, counter, gauge
 
 
-def figures(
+def metrics(
     context: Context,
     peers: Peers,
     agreement: Agreement,
@@ -27,12 +27,14 @@
     recovery: Recovery,
     api: AdminApi,
 ) -> Iterator[Figure]:
-    """All families of one controller."""
+    """Yields all metric families of one controller."""
     yield from _voting(context, heartbeats)
-    yield counter("mesh_ballots", "Ballots that this controller has begun for changes.", agreement.ballots)
+    yield counter(
+        "mesh_ballots", "Ballots that this controller has begun for changes.", agreement.ballots_started
+    )
     yield counter("mesh_elections", "Proposals of other voters that it has begun.", elections.proposals)
     yield counter("mesh_repairs", "Times that it became whole again.", recovery.repairs)
-    yield api.orders.figure()
+    yield api.changes.figure()
     yield gauge("mesh_sequence", "Changes of the configuration that it holds.", agreement.replica.sequence)
     yield gauge("mesh_items", "Items that it holds, dropped ones too.", len(agreement.copy.items))
     yield gauge("mesh_keys", "Operation keys that it holds.", len(grants.registry))
@@ -48,7 +50,7 @@
 
 
 def _voting(context: Context, heartbeats: Heartbeats) -> Iterator[Figure]:
-    """Contact, voters, and the losses that can be borne."""
+    """Yields the metrics of contact with a majority, of the voters, and of the losses tolerated."""
     safety, voters = heartbeats.safety, context.voters
     yield gauge("mesh_in_contact", "1 while it is in contact with a majority.", heartbeats.in_contact)
     yield gauge("mesh_whole", "1 while its disk is whole.", context.member.counts)
--- a/mesh/control/publisher.py
+++ b/mesh/control/publisher.py
@@ -1,4 +1,4 @@
-"""What a controller tells sidecars: which of them there are, and the configuration."""
+"""Publishes the configuration and the sidecars' records to the sidecars connected to one controller."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
     checksum,
 )
 
-FORGET_S = 6.0  # a sidecar's record outlasts its connection by so much
-GATHERED_S = 0.02  # records of sidecars that come together are told together
-DIGEST_S = 0.5  # digests of records that change together are told together
-VERSION_WITH_RECORDS_DIGEST = 4  # a sidecar of an older version hears all records from all controllers
-VERSION_THAT_FOLLOWS = 2  # a sidecar of an older version takes whatever is told
+RECORD_RETENTION_S = 6.0  # how long a sidecar's record outlasts its connection
+RECORD_BATCH_S = 0.02  # records that change within this time are sent in one message
+RECORDS_DIGEST_DELAY_S = 0.5  # record changes within this time share one digest
+VERSION_WITH_RECORDS_DIGEST = 4  # older sidecars get all records from all controllers
+VERSION_WITH_FOLLOW = 2  # older sidecars get all items and records without asking
 
 
 class Publisher:
-    """The sidecars that are linked to one controller, and what they have been told."""
+    """The sidecars that are connected to one controller, and what was sent to them."""
 
     def __init__(
         self,
@@ -47,190 +47,200 @@
         peers: Peers,
         agreement: Agreement,
         heartbeats: Heartbeats,
-        told_voters: Callable[[], CurrentVoters],
+        current_voters: Callable[[], CurrentVoters],
     ) -> None:
         self._context, self._peers = context, peers
         self._agreement, self._heartbeats = agreement, heartbeats
-        self._told_voters = told_voters
-        self.acknowledged: dict[str, int] = {}  # by sidecar: the last `Items` that it has acknowledged
+        self._current_voters = current_voters
+        self.acknowledged: dict[str, int] = {}  # by sidecar: number of the last `Items` that it acknowledged
         self._sidecars: dict[PeerConnection, str] = {}
-        self._old: set[PeerConnection] = set()  # sidecars of a version that knows no epochs
+        self._old: set[PeerConnection] = set()  # sidecars of a version without epochs
         self._records: dict[str, SidecarRecord] = {}
-        self._digest = RecordsDigest()  # of those records
-        self._digest_due = False
-        self._take_digests: set[PeerConnection] = set()  # sidecars that understand it
-        self._news: dict[str, SidecarRecord] = {}  # records that are to be told
-        self._followers: set[PeerConnection] = set()  # sidecars that hear tables and changes from here
+        self._records_digest = RecordsDigest()
+        self._digest_scheduled = False
+        self._digest_capable: set[PeerConnection] = set()  # sidecars that understand `RecordsDigest`
+        self._pending_records: dict[str, SidecarRecord] = {}  # changed records that are not sent yet
+        self._followers: set[PeerConnection] = set()  # sidecars that get items and records from here
         self._number = 0
-        self._whole: tuple[ItemTable, bytes] = (EMPTY, b"")  # packed once for all who ask
+        self._packed_table: tuple[ItemTable, bytes] = (EMPTY, b"")  # all items, packed once for all sidecars
 
     @property
     def any_old(self) -> bool:
-        """Whether a sidecar is linked that knows no epochs."""
+        """Whether a sidecar of a version without epochs is connected."""
         return bool(self._old)
 
     @property
     def linked(self) -> int:
-        """Sidecars that are linked."""
+        """Number of connected sidecars."""
         return len(self._sidecars)
 
     @property
     def following(self) -> int:
-        """Those of them that hear tables and changes from here."""
+        """Number of connected sidecars that get the configuration from this controller."""
         return len(self._followers)
 
     def send(self, message: Message) -> None:
-        """Tell all sidecars something."""
+        """Sends a message to all connected sidecars."""
         packed = pack(message)
-        for link in self._sidecars:
-            link.send_packed(packed)
+        for connection in self._sidecars:
+            connection.send_packed(packed)
 
     # --- sidecars
 
-    def register(self, link: PeerConnection, told: Register) -> None:
-        """A sidecar says what it is, and what can be had there."""
-        record = told.record
-        fresh = link not in self._sidecars
-        if fresh and not told.version:
-            self._old.add(link)
-        self._sidecars[link] = record.node
+    def on_register(self, connection: PeerConnection, message: Register) -> None:
+        """Handles a sidecar's record: who it is, and which instance it serves."""
+        record = message.record
+        new_connection = connection not in self._sidecars
+        if new_connection and not message.version:
+            self._old.add(connection)
+        self._sidecars[connection] = record.node
         known = self._records.get(record.node)
-        if fresh and known is not None and known.incarnation > record.incarnation:
-            link.send(NewerLifeKnown(known.incarnation))
-        news = known is None or record.order > known.order
-        if news:
+        if new_connection and known is not None and known.incarnation > record.incarnation:
+            connection.send(NewerLifeKnown(known.incarnation))
+        changed = known is None or record.order > known.order
+        if changed:
             self._records[record.node] = record
-            self._digest.update(record.node, record.incarnation, record.number)
-        if told.version >= VERSION_WITH_RECORDS_DIGEST:
-            self._take_digests.add(link)
-        if fresh:
-            self._welcome(link, told.version)
-        if news:
-            if not self._news:
-                self._context.loop.call_later(GATHERED_S, self._tell_news)
-            self._news[record.node] = record
-
-    def _welcome(self, link: PeerConnection, version: int) -> None:
-        """Tell a sidecar that was not linked before where it stands."""
-        link.send(InContact(self._heartbeats.told))
-        link.send(self._peers.controllers())
+            self._records_digest.update(record.node, record.incarnation, record.number)
+        if message.version >= VERSION_WITH_RECORDS_DIGEST:
+            self._digest_capable.add(connection)
+        if new_connection:
+            self._send_initial_state(connection, message.version)
+        if changed:
+            if not self._pending_records:
+                self._context.loop.call_later(RECORD_BATCH_S, self._send_pending_records)
+            self._pending_records[record.node] = record
+
+    def _send_initial_state(self, connection: PeerConnection, version: int) -> None:
+        """Sends a newly connected sidecar what it needs to know first."""
+        connection.send(InContact(self._heartbeats.told))
+        connection.send(self._peers.controllers())
         if self._context.voters.epoch:
-            link.send(self._told_voters())
+            connection.send(self._current_voters())
         if version >= VERSION_WITH_RECORDS_DIGEST:
-            link.send(messages.RecordsDigest(self._digest.value))  # one told before may be lost with its link
-        if version < VERSION_THAT_FOLLOWS:
-            self._followers.add(link)
-            link.send_packed(self._packed_whole())
-            link.send(self._endpoints())
+            # An earlier digest may have been lost with the sidecar's previous connection.
+            connection.send(messages.RecordsDigest(self._records_digest.value))
+        if version < VERSION_WITH_FOLLOW:
+            self._followers.add(connection)
+            connection.send_packed(self._pack_table())
+            connection.send(self._endpoints())
         elif self._heartbeats.told:
-            link.send(Digest(self._agreement.copy.digest))
+            connection.send(Digest(self._agreement.copy.digest))
 
     def _endpoints(self) -> Endpoints:
         return Endpoints(tuple(self._records.values()))
 
-    def _tell_news(self) -> None:
-        """Tell the sidecars that follow this controller of records that are news. The others hear them from
-        the controllers that they follow, and a digest from this one: with each record told by each controller
-        to each sidecar, records were most of what control sends."""
-        records, self._news = tuple(self._news.values()), {}
+    def _send_pending_records(self) -> None:
+        """Sends changed records to the sidecars that follow this controller, and a digest to the others.
+
+        The others get the records from the controllers that they follow. When each controller sent each
+        record to each sidecar, records were most of the control traffic.
+        """
+        records, self._pending_records = tuple(self._pending_records.values()), {}
         if not records:
             return
         packed = pack(Endpoints(records))
-        for link in self._sidecars:
-            if link in self._followers or link not in self._take_digests:
-                link.send_packed(packed)
-        if not self._digest_due:
-            self._digest_due = True
-            self._context.loop.call_later(DIGEST_S, self._tell_digest)
-
-    def _tell_digest(self) -> None:
-        self._digest_due = False
-        packed = pack(messages.RecordsDigest(self._digest.value))
-        for link in self._take_digests - self._followers:
-            link.send_packed(packed)
-
-    def pull_records(self, link: PeerConnection, asked: PullRecords) -> None:
-        """A sidecar that follows another controller asks for all records."""
-        link.send(self._endpoints())
-
-    def left(self, link: PeerConnection) -> None:
-        """A connection has ended."""
-        node = self._sidecars.pop(link, None)
-        self._old.discard(link)
-        self._followers.discard(link)
-        self._take_digests.discard(link)
+        for connection in self._sidecars:
+            if connection in self._followers or connection not in self._digest_capable:
+                connection.send_packed(packed)
+        if not self._digest_scheduled:
+            self._digest_scheduled = True
+            self._context.loop.call_later(RECORDS_DIGEST_DELAY_S, self._send_records_digest)
+
+    def _send_records_digest(self) -> None:
+        self._digest_scheduled = False
+        packed = pack(messages.RecordsDigest(self._records_digest.value))
+        for connection in self._digest_capable - self._followers:
+            connection.send_packed(packed)
+
+    def on_pull_records(self, connection: PeerConnection, request: PullRecords) -> None:
+        """Sends all records to a sidecar that follows another controller."""
+        connection.send(self._endpoints())
+
+    def on_disconnect(self, connection: PeerConnection) -> None:
+        """Handles the end of a connection; the sidecar's record is kept for `RECORD_RETENTION_S`."""
+        node = self._sidecars.pop(connection, None)
+        self._old.discard(connection)
+        self._followers.discard(connection)
+        self._digest_capable.discard(connection)
         record = self._records.get(node) if node is not None else None
         if record is not None:
-            self._context.loop.call_later(FORGET_S, self._forget, record.node, record.incarnation)
+            self._context.loop.call_later(
+                RECORD_RETENTION_S, self._expire_record, record.node, record.incarnation
+            )
 
-    def _forget(self, node: str, life: int) -> None:
+    def _expire_record(self, node: str, incarnation: int) -> None:
         record = self._records.get(node)
-        if record is None or record.incarnation != life or node in self._sidecars.values():
+        if record is None or record.incarnation != incarnation or node in self._sidecars.values():
             return
         del self._records[node]
-        self._digest.remove(node)
-        self._news.pop(node, None)
-        self.send(EndpointGone(node, life))
+        self._records_digest.remove(node)
+        self._pending_records.pop(node, None)
+        self.send(EndpointGone(node, incarnation))
 
     # --- configuration
 
     def publish(self, items: list[Item]) -> None:
-        """Tell the sidecars that follow this controller of items that are news, and the others by eight bytes
-        that there is news. Out of contact nothing is told: all hear the digest once it is found again."""
+        """Sends new items to the sidecars that follow this controller, and a digest of 8 bytes to the others.
+
+        Nothing is sent without contact with a majority; all sidecars get the digest when contact is regained.
+        """
         if not self._heartbeats.told:
             return
         self._number += 1
-        packed, digest = self._packed(items), pack(Digest(self._agreement.copy.digest))
-        for link in self._sidecars:
-            link.send_packed(packed if link in self._followers else digest)
+        packed, digest = self._pack_items(items), pack(Digest(self._agreement.copy.digest))
+        for connection in self._sidecars:
+            connection.send_packed(packed if connection in self._followers else digest)
 
-    def _packed(self, items: Iterable[Item]) -> bytes:
+    def _pack_items(self, items: Iterable[Item]) -> bytes:
         rows = tuple(items)
         return pack(Items(self._number, rows, checksum(rows)))
 
-    def _packed_whole(self) -> bytes:
+    def _pack_table(self) -> bytes:
         items = self._agreement.copy.items
-        if self._whole[0] is not items or not self._whole[1]:
-            self._whole = items, self._packed(items.values())
-        return self._whole[1]
-
-    def follow(self, link: PeerConnection, told: Follow) -> None:
-        """A sidecar hears tables and changes from here from now on, or no longer. One that has nothing gets
-        all; one that has something else than this controller says what it lacks."""
-        if told.digest is None or not self._current(link):
-            self._followers.discard(link)
+        if self._packed_table[0] is not items or not self._packed_table[1]:
+            self._packed_table = items, self._pack_items(items.values())
+        return self._packed_table[1]
+
+    def on_follow(self, connection: PeerConnection, message: Follow) -> None:
+        """Handles a sidecar that starts or stops following this controller.
+
+        A new follower without items gets all of them; one with other items than this controller gets the
+        digest and pulls what it lacks.
+        """
+        if message.digest is None or not self._check_contact(connection):
+            self._followers.discard(connection)
             return
-        self._followers.add(link)
-        link.send(self._endpoints())
-        if not told.digest:
-            link.send_packed(self._packed_whole())
+        self._followers.add(connection)
+        connection.send(self._endpoints())
+        if not message.digest:
+            connection.send_packed(self._pack_table())
         else:
-            link.send(Digest(self._agreement.copy.digest))
+            connection.send(Digest(self._agreement.copy.digest))
 
-    def pull(self, link: PeerConnection, asked: Pull) -> None:
-        """A sidecar asks for what it lacks."""
-        if not self._current(link):
+    def on_pull(self, connection: PeerConnection, request: Pull) -> None:
+        """Sends a sidecar the items that it may lack."""
+        if not self._check_contact(connection):
             return
-        lacking = self._agreement.lacking(asked.buckets)
-        whole = len(lacking) == len(self._agreement.copy.items)
-        link.send_packed(self._packed_whole() if whole else self._packed(lacking))
+        missing = self._agreement.missing_items(request.buckets)
+        all_missing = len(missing) == len(self._agreement.copy.items)
+        connection.send_packed(self._pack_table() if all_missing else self._pack_items(missing))
 
-    def received(self, link: PeerConnection, told: ItemsReceived) -> None:
-        """A sidecar acknowledges what it was told."""
-        node = self._sidecars.get(link)
+    def on_items_received(self, connection: PeerConnection, message: ItemsReceived) -> None:
+        """Handles a sidecar's acknowledgement of items."""
+        node = self._sidecars.get(connection)
         if node is not None:
-            self.acknowledged[node] = told.number
+            self.acknowledged[node] = message.number
 
-    def _current(self, link: PeerConnection) -> bool:
-        """Whether a sidecar may be told what this controller holds; if not, it is told to turn elsewhere."""
+    def _check_contact(self, connection: PeerConnection) -> bool:
+        """Returns whether this controller may serve its items; if not, tells the sidecar so."""
         if self._heartbeats.in_contact:
             return True
         self._heartbeats.lose()
-        link.send(InContact(False))
+        connection.send(InContact(False))
         return False
 
-    def contact(self, found: bool) -> None:
-        """Contact with a majority is found or lost."""
-        self.send(InContact(found))
-        if found:
+    def on_contact(self, in_contact: bool) -> None:
+        """Tells all sidecars that contact with a majority was gained or lost."""
+        self.send(InContact(in_contact))
+        if in_contact:
             self.send(Digest(self._agreement.copy.digest))
--- a/mesh/state/configuration.py
+++ b/mesh/state/configuration.py
@@ -1,8 +1,8 @@
-"""Configuration: items with a version of their own, merged item by item, checked as a whole. No I/O.
+"""Configuration items: versioned one by one, merged item by item, validated as a whole. No I/O.
 
-An item's name is `route/NAME`, `service/NAME` or `limit`. Per name the highest version wins, whether it was
-set or dropped. Two contents of one version are never agreed on (`consensus.py`); should a caller merge such
-all the same, they are told apart by their bytes, so that copies agree in any order.
+An item's name is `route/NAME`, `service/NAME` or `limit`. Of each name the highest version wins, whether it
+was set or removed. Consensus never chooses two contents for one version (`consensus.py`); if a caller merges
+such items all the same, the greater content wins, so that copies converge in any order.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 from mesh.settings import seconds
 
-VERSION = re.compile(r"r([0-9]{1,40})")
-SLACK_S = 60.0  # a target that exceeds its route's time-out by so much is a mistake
+REVISION_PATTERN = re.compile(r"r([0-9]{1,40})")
+MAX_TARGET_EXCESS_S = 60.0  # a target latency that exceeds the route's timeout by this much is a mistake
 VARIANTS = ("pure", "effectful", "idempotent", "upload")
 
 
 class Item(NamedTuple):
-    """One item at one version; `content` is the item's JSON as it was sent, empty where it was dropped."""
+    """One item at one version; `content` is its JSON, empty if the item was removed."""
 
     name: str
     version: int
     content: str = ""
 
     def supersedes(self, other: Item | None) -> bool:
-        """Whether it wins over another of its name."""
+        """Whether this item wins over another one of the same name."""
         return other is None or (self.version, self.content) > (other.version, other.content)
 
 
@@ -40,60 +40,61 @@
 EMPTY: Items = pmap()
 
 
-def merge(items: Items, news: Iterable[Item]) -> Items:
-    """Both; commutes, associates, and a repeat does nothing."""
-    best: dict[str, Item] = {}
-    for item in news:
-        if item.supersedes(best.get(item.name, items.get(item.name))):
-            best[item.name] = item
-    return items.update(best) if best else items
+def merge(items: Items, others: Iterable[Item]) -> Items:
+    """Merges two sets of items. The operation is commutative, associative and idempotent."""
+    winners: dict[str, Item] = {}
+    for item in others:
+        if item.supersedes(winners.get(item.name, items.get(item.name))):
+            winners[item.name] = item
+    return items.update(winners) if winners else items
 
 
 @lru_cache(maxsize=8192)
-def mark(item: Item) -> int:
-    """64 bits of one item."""
+def item_hash(item: Item) -> int:
+    """Returns a 64-bit hash of an item."""
     text = f"{item.name}\0{item.version}\0{item.content}"
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def validate_change(items: Items, call: Iterable[Item]) -> Result[tuple[Item, ...], str]:
-    """What of an operator's call has an effect on what stands, or why it is invalid there.
+def validate_change(items: Items, change: Iterable[Item]) -> Result[tuple[Item, ...], str]:
+    """Returns the items of a change that have an effect on the current ones, or why the change is invalid.
 
-    A version that is lower than what stands has no effect, and neither has the same item once more. Another
-    content under the version that stands is invalid: its sender would take it for being in force. Serialised
-    by the caller: two changes that are checked against the same state could each be valid, and clash.
+    An item with a lower version than the current one, or the same item again, has no effect. A different
+    content under the current version is invalid, as its sender would believe it to be in force. The caller
+    has to serialize changes: two of them that are validated against the same state could each be valid and
+    conflict with each other.
     """
-    rows = tuple(call)
-    other = [
+    rows = tuple(change)
+    different = [
         f"{item.name} r{item.version} stands with another content"
         for item in rows
         if item.name in items and items[item.name].version == item.version and items[item.name] != item
     ]
-    if other:
-        return Error("; ".join(sorted(other)))
-    news = tuple(item for item in rows if item.name not in items or item.version > items[item.name].version)
-    names = {item.name for item in news}
-    wrong = build_table(items.update({item.name: item for item in news}))[1]
-    clashes = [clash.text for clash in wrong if clash.names & names]
-    return Error("; ".join(sorted(clashes))) if clashes else Ok(news)
-
-
-def version(value: Any) -> int:
-    """The number of a version as text; ValueError where it is none."""
-    found = VERSION.fullmatch(value) if isinstance(value, str) else None
-    if found is None:
+    if different:
+        return Error("; ".join(sorted(different)))
+    newer = tuple(item for item in rows if item.name not in items or item.version > items[item.name].version)
+    names = {item.name for item in newer}
+    conflicts = build_table(items.update({item.name: item for item in newer}))[1]
+    texts = [conflict.text for conflict in conflicts if conflict.names & names]
+    return Error("; ".join(sorted(texts))) if texts else Ok(newer)
+
+
+def parse_revision(value: Any) -> int:
+    """Parses a revision such as `r12` into its number; raises ValueError if it is malformed."""
+    match = REVISION_PATTERN.fullmatch(value) if isinstance(value, str) else None
+    if match is None:
         raise ValueError(f"{value!r} is no revision")
-    return int(found[1])
+    return int(match[1])
 
 
-def _named(raw: Any) -> str:
+def _name_of(raw: Any) -> str:
     name = raw.get("name") if isinstance(raw, dict) else None
     if not isinstance(name, str) or not name:
         raise ValueError("an item has no name")
     return name
 
 
-def _lists(raw: Mapping[str, Any], key: str) -> list[Any]:
+def _list_of(raw: Mapping[str, Any], key: str) -> list[Any]:
     value = raw.get(key)
     if value is None:
         return []
@@ -102,71 +103,72 @@
     return value
 
 
-def _sets(raw: Mapping[str, Any]) -> Iterable[Item]:
+def _upserted_items(raw: Mapping[str, Any]) -> Iterable[Item]:
     limit = raw.get("limit_set")
     if limit is not None:
         if not isinstance(limit, dict):
             raise ValueError("limit_set is no object")
-        yield Item("limit", version(limit.get("revision")), _content(limit))
-    for listener in _lists(raw, "listener_list"):
+        yield Item("limit", parse_revision(limit.get("revision")), _encode(limit))
+    for listener in _list_of(raw, "listener_list"):
         if not isinstance(listener, dict):
             raise ValueError("a listener is no object")
         host = listener.get("hostname")
         if not isinstance(host, str) or not host.strip():
             raise ValueError("a hostname is empty")
-        for rule in _lists(listener, "rule_set"):
-            name = _named(rule)
-            content = _content({"hostname": host, "rule": rule})
-            yield Item(f"route/{name}", version(rule.get("revision")), content)
-    for cluster in _lists(raw, "cluster_list"):
-        yield Item(f"service/{_named(cluster)}", version(cluster.get("revision")), _content(cluster))
+        for rule in _list_of(listener, "rule_set"):
+            name = _name_of(rule)
+            content = _encode({"hostname": host, "rule": rule})
+            yield Item(f"route/{name}", parse_revision(rule.get("revision")), content)
+    for cluster in _list_of(raw, "cluster_list"):
+        yield Item(f"service/{_name_of(cluster)}", parse_revision(cluster.get("revision")), _encode(cluster))
 
 
-def _content(raw: Any) -> str:
+def _encode(raw: Any) -> str:
     return json.dumps(raw, separators=(",", ":"), sort_keys=True)
 
 
-def _no_number(text: str) -> None:
+def _reject_constant(text: str) -> None:
+    """Rejects NaN and Infinity, which Python's JSON parser takes by default."""
     raise ValueError(f"{text} is no JSON")
 
 
 def parse_change(body: bytes) -> Result[tuple[Item, ...], str]:
-    """The items of an operator's call, or why it can't be read whole. Each item's own shape is checked."""
+    """Parses the items of an admin call, each validated by itself, or returns why the call is malformed."""
     try:
-        raw = json.loads(body, parse_constant=_no_number)
-        json.dumps(raw, ensure_ascii=False).encode()  # half a character can't be passed on
+        raw = json.loads(body, parse_constant=_reject_constant)
+        json.dumps(raw, ensure_ascii=False).encode()  # raises for lone surrogates, which can't be encoded
         if not isinstance(raw, dict) or not ({"upserts", "removals"} & raw.keys()):
             raise ValueError("neither upserts nor removals")
         upserts, removals = raw.get("upserts", {}), raw.get("removals", {})
         if not isinstance(upserts, dict) or not isinstance(removals, dict):
             raise ValueError("upserts or removals is no object")
-        found: dict[str, Item] = {}
-        for item in _sets(upserts):
-            if item.name in found:
+        items: dict[str, Item] = {}
+        for item in _upserted_items(upserts):
+            if item.name in items:
                 raise ValueError(f"{item.name} is there twice")
             parse_item(item)
-            found[item.name] = item
+            items[item.name] = item
         for key, kind in (("route_list", "route"), ("service_list", "service")):
-            for dropped in _lists(removals, key):
-                item = Item(f"{kind}/{_named(dropped)}", version(dropped.get("revision")))
-                if item.supersedes(found.get(item.name)):
-                    found[item.name] = item
+            for removal in _list_of(removals, key):
+                item = Item(f"{kind}/{_name_of(removal)}", parse_revision(removal.get("revision")))
+                if item.supersedes(items.get(item.name)):
+                    items[item.name] = item
     except (ValueError, RecursionError) as error:
         return Error(str(error))
-    return Ok(tuple(found.values()))
+    return Ok(tuple(items.values()))
 
 
-# --- what items mean
+# --- parsed items
 
 
 class Route(NamedTuple):
-    """One routing rule. Times in seconds."""
+    """One routing rule. Times are in seconds."""
 
     name: str
     host: str
     prefix: str
     variant: str
-    targets: tuple[tuple[str, float], ...]  # services, and the running sum of their weights
+    targets: tuple[tuple[str, float], ...]  # services, each with the cumulative sum of weights
     timeout_s: float
     target_s: float
     max_attempts: int
@@ -179,11 +181,11 @@
     name: str
     health_path: str
     max_conns: int
-    dedupes: bool
+    idempotent: bool
 
 
 class Limits(NamedTuple):
-    """What a client may send, and how long it may take."""
+    """Limits on the size and duration of clients' requests."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 48 << 20
@@ -191,34 +193,34 @@
     idle_timeout_s: float = 15.0
 
 
-def _weight(value: Any) -> float:
+def _parse_weight(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < 1e12:
         raise ValueError(f"{value!r} is no weight")
     return float(value)
 
 
-def _count(value: Any, least: int = 0) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or value < least:
-        raise ValueError(f"{value!r} is no number from {least} on")
+def _parse_count(value: Any, minimum: int = 0) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or value < minimum:
+        raise ValueError(f"{value!r} is no number from {minimum} on")
     return int(value)
 
 
 def parse_item(item: Item) -> Route | Cluster | Limits:
-    """What an item says; ValueError where it can't be."""
+    """Parses the content of an item; raises ValueError if it is invalid."""
     raw = json.loads(item.content)
     if item.name == "limit":
         return Limits(
-            _count(raw.get("max_header_bytes", 16384), 1),
-            _count(raw.get("max_body_bytes", 48 << 20), 1),
+            _parse_count(raw.get("max_header_bytes", 16384), 1),
+            _parse_count(raw.get("max_body_bytes", 48 << 20), 1),
             seconds(raw.get("header_timeout", "3s")),
             seconds(raw.get("idle_timeout", "15s")),
         )
     if item.name.startswith("service/"):
-        health = raw.get("health_path", "/health")
-        if not isinstance(health, str) or not health.startswith("/"):
-            raise ValueError(f"{health!r} is no path")
-        most = _count(raw.get("max_conns", 64), 1)
-        return Cluster(raw["name"], health, most, raw.get("idempotent") is True)
+        health_path = raw.get("health_path", "/health")
+        if not isinstance(health_path, str) or not health_path.startswith("/"):
+            raise ValueError(f"{health_path!r} is no path")
+        max_conns = _parse_count(raw.get("max_conns", 64), 1)
+        return Cluster(raw["name"], health_path, max_conns, raw.get("idempotent") is True)
     rule = raw["rule"]
     matcher, effect = rule.get("matcher"), rule.get("effect")
     if not isinstance(matcher, dict) or not isinstance(effect, dict):
@@ -240,13 +242,13 @@
         service = part.get("service") if isinstance(part, dict) else None
         if not isinstance(service, str) or not service:
             raise ValueError(f"{item.name} names no service")
-        total += _weight(part.get("weight", 1))
+        total += _parse_weight(part.get("weight", 1))
         targets.append((service, total))
     if total <= 0:
         raise ValueError(f"{item.name}: its weights add up to 0")
-    timeout = seconds(effect.get("timeout"))
-    aim = seconds(rule.get("target", effect["timeout"]))
-    if aim >= timeout + SLACK_S:
+    timeout_s = seconds(effect.get("timeout"))
+    target_s = seconds(rule.get("target", effect["timeout"]))
+    if target_s >= timeout_s + MAX_TARGET_EXCESS_S:
         raise ValueError(f"{item.name}: its target exceeds its time-out")
     return Route(
         rule["name"],
@@ -254,22 +256,22 @@
         prefix,
         variant,
         tuple(targets),
-        timeout,
-        aim,
-        _count(effect.get("max_attempts", 1), 1),
-        _count(rule.get("priority", 0)),
+        timeout_s,
+        target_s,
+        _parse_count(effect.get("max_attempts", 1), 1),
+        _parse_count(rule.get("priority", 0)),
     )
 
 
 class RoutingTable(NamedTuple):
-    """What stands in force: an immutable snapshot, swapped whole."""
+    """The configuration in force: an immutable snapshot, replaced as a whole."""
 
-    routes_by_host: Mapping[str, tuple[tuple[str, Route], ...]]  # by host, the longest prefix first
+    routes_by_host: Mapping[str, tuple[tuple[str, Route], ...]]  # of each host, the longest prefix first
     clusters: Mapping[str, Cluster]
     limits: Limits
 
     def route(self, host: str, path: str) -> Route | None:
-        """The route of the longest prefix that begins the path."""
+        """Returns the route with the longest prefix that matches the path."""
         for prefix, route in self.routes_by_host.get(host, ()):
             if path.startswith(prefix):
                 return route
@@ -277,69 +279,76 @@
 
 
 EMPTY_TABLE = RoutingTable({}, {}, Limits())
-_built: dict[Item, Route | Cluster | Limits] = {}
+_parsed: dict[Item, Route | Cluster | Limits] = {}
 
 
 class Conflict(NamedTuple):
-    """Why a route is held out of force, and the items that it is about."""
+    """Why a route is left out of the table, and the items involved."""
 
     names: frozenset[str]
     text: str
 
 
 def build_table(items: Items) -> tuple[RoutingTable, list[Conflict]]:
-    """The snapshot that items make, and what of them is held out, as two at one place or of no service."""
-    hosts: dict[str, dict[str, Route]] = {}
+    """Builds the table of a set of items.
+
+    A route to an unknown service, or with the same host and prefix as another route, is left out and reported
+    as a conflict.
+    """
+    routes_by_host: dict[str, dict[str, Route]] = {}
     clusters: dict[str, Cluster] = {}
     limits = Limits()
-    wrong: list[Conflict] = []
+    conflicts: list[Conflict] = []
     routes: list[Route] = []
-    if len(_built) > 4 * len(items) + 64:
-        _built.clear()
+    if len(_parsed) > 4 * len(items) + 64:
+        _parsed.clear()
     for item in items.values():
         if not item.content:
             continue
-        made = _built.get(item)
-        if made is None:
-            made = _built[item] = parse_item(item)
-        if isinstance(made, Cluster):
-            clusters[made.name] = made
-        elif isinstance(made, Limits):
-            limits = made
+        parsed = _parsed.get(item)
+        if parsed is None:
+            parsed = _parsed[item] = parse_item(item)
+        if isinstance(parsed, Cluster):
+            clusters[parsed.name] = parsed
+        elif isinstance(parsed, Limits):
+            limits = parsed
         else:
-            routes.append(made)
+            routes.append(parsed)
     for route in sorted(routes, key=lambda r: r.name):
         missing = [name for name, _ in route.targets if name not in clusters]
         if missing:
-            about = frozenset((f"route/{route.name}", f"service/{missing[0]}"))
-            wrong.append(Conflict(about, f"route {route.name} names the unknown service {missing[0]}"))
+            names = frozenset((f"route/{route.name}", f"service/{missing[0]}"))
+            conflicts.append(Conflict(names, f"route {route.name} names the unknown service {missing[0]}"))
             continue
-        other = hosts.setdefault(route.host, {}).setdefault(route.prefix, route)
+        other = routes_by_host.setdefault(route.host, {}).setdefault(route.prefix, route)
         if other is not route:
-            about = frozenset((f"route/{route.name}", f"route/{other.name}"))
-            wrong.append(Conflict(about, f"routes {other.name} and {route.name} share host and prefix"))
-    sorted_hosts = {
-        host: tuple(sorted(found.items(), key=lambda pair: -len(pair[0]))) for host, found in hosts.items()
+            names = frozenset((f"route/{route.name}", f"route/{other.name}"))
+            conflicts.append(Conflict(names, f"routes {other.name} and {route.name} share host and prefix"))
+    sorted_routes = {
+        host: tuple(sorted(by_prefix.items(), key=lambda pair: -len(pair[0])))
+        for host, by_prefix in routes_by_host.items()
     }
-    return RoutingTable(sorted_hosts, clusters, limits), wrong
+    return RoutingTable(sorted_routes, clusters, limits), conflicts
 
 
-def whole(items: Items) -> bytes:
-    """All items that stand, laid out as in an operator's first call."""
-    hosts: dict[str, list[Any]] = {}
+def to_json(items: Items) -> bytes:
+    """Returns all items in force as the `upserts` of an admin call."""
+    rules_by_host: dict[str, list[Any]] = {}
     clusters: list[Any] = []
-    found: dict[str, Any] = {}
+    upserts: dict[str, Any] = {}
     for name in sorted(items):
         content = items[name].content
         if not content:
             continue
         raw = json.loads(content)
         if name == "limit":
-            found["limit_set"] = raw
+            upserts["limit_set"] = raw
         elif name.startswith("route/"):
-            hosts.setdefault(raw["hostname"], []).append(raw["rule"])
+            rules_by_host.setdefault(raw["hostname"], []).append(raw["rule"])
         else:
             clusters.append(raw)
-    found["listener_list"] = [{"hostname": host, "rule_set": rules} for host, rules in sorted(hosts.items())]
-    found["cluster_list"] = clusters
-    return json.dumps(found, separators=(",", ":")).encode()
+    upserts["listener_list"] = [
+        {"hostname": host, "rule_set": rules} for host, rules in sorted(rules_by_host.items())
+    ]
+    upserts["cluster_list"] = clusters
+    return json.dumps(upserts, separators=(",", ":")).encode()
--- a/tests/mesh/controller_process.py
+++ b/tests/mesh/controller_process.py
@@ -1,4 +1,4 @@
-"""A controller as a real process on loopback: its settings, free ports, and its first answer."""
+"""Helpers for tests with a controller as a real process on loopback."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens at now."""
+    """Returns ports that are currently free."""
     sockets = [socket.socket() for _ in range(count)]
     for one in sockets:
         one.bind(("127.0.0.1", 0))
@@ -36,13 +36,13 @@
 
 
 def fetched(url: str, limit_s: float) -> str:
-    """What is answered there, as soon as anything is."""
-    ends = time.monotonic() + limit_s
+    """Returns the body at a URL, retrying until the server responds."""
+    deadline = time.monotonic() + limit_s
     while True:
         try:
             with urllib.request.urlopen(url, timeout=2.0) as answer:
                 return str(answer.read().decode())
         except OSError:
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline:
                 raise
             time.sleep(0.1)
--- a/tests/mesh/fake_machines.py
+++ b/tests/mesh/fake_machines.py
@@ -1,6 +1,6 @@
-"""Machines, processes, disks and connections on fake time, for the roles' own code.
+"""Simulated machines, processes, disks and connections, on which the roles' own code runs.
 
-`mesh_world.World` holds the clock and turns the loops; what is here never waits by itself.
+`mesh_world.World` holds the clock and runs the event loops; nothing here waits by itself.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from mesh_world import World
 
-TELLS = frozenset(
+VOTER_ANSWERS = frozenset(
     {
         kind_of(messages.FetchAnswer),
         kind_of(messages.PrepareAnswer),
@@ -32,18 +32,18 @@
         kind_of(messages.ClaimAnswer),
     }
 )
-BEATS = frozenset({kind_of(messages.Heartbeat), kind_of(messages.HeartbeatAnswer)})
-# no points of their own
-SIGNS_OF_LIFE = BEATS | {kind_of(messages.Ping), kind_of(messages.Pong)}
+HEARTBEATS = frozenset({kind_of(messages.Heartbeat), kind_of(messages.HeartbeatAnswer)})
+# deliveries that are no fault points
+LIVENESS_KINDS = HEARTBEATS | {kind_of(messages.Ping), kind_of(messages.Pong)}
 
 
 def message_kind(packed: bytes) -> int:
-    """The kind of a packed message: the first entry of its list."""
+    """Returns the kind of a packed message, the first entry of its array."""
     return packed[6] if packed[5] == 24 else packed[5]
 
 
 class Loop(asyncio.BaseEventLoop):
-    """One process's loop. The world turns it; it never waits."""
+    """The event loop of one process. The world runs its iterations; it never waits."""
 
     def __init__(self, process: Process) -> None:
         super().__init__()
@@ -65,7 +65,7 @@
             self.process.world.errors.append(repr(context))
 
     def due(self) -> float:
-        """When it has to be turned next."""
+        """Returns when the next iteration is due."""
         if self._ready:
             return 0.0
         return self._scheduled[0]._when if self._scheduled else float("inf")
@@ -78,7 +78,7 @@
             events._set_running_loop(None)
 
     async def create_connection(self, factory: Callable[[], Any], host: str, port: int) -> Any:
-        """A connection, as in TCP: nothing at all comes back from a machine that is off or cut away."""
+        """Opens a connection; as in TCP, nothing comes back from a machine that is off or partitioned."""
         world, me = self.process.world, self.process
         made: asyncio.Future[Any] = self.create_future()
         near = world.end_of(port)(me)
@@ -121,16 +121,16 @@
 
 
 class End:
-    """One end of a connection, a transport to its protocol. What is written comes in order, maybe late."""
+    """One end of a connection, as the transport of a protocol. Data arrives in order, possibly delayed."""
 
     def __init__(self, process: Process) -> None:
         self.process, self.world = process, process.world
         self.other: End | None = None
         self.protocol: Any = None
         self.closed = False
-        self._way: deque[tuple[float, bytes | None]] = deque()  # what is under way from here; None: the end
+        self._way: deque[tuple[float, bytes | None]] = deque()  # data in transit; None: end of stream
         self._last = 0.0
-        self.lost = False  # something written here found the other machine off
+        self.lost = False  # data written here arrived at a machine that was off
         process.ends[self] = None
 
     def begin(self, protocol: Any) -> None:
@@ -152,7 +152,7 @@
             at += size
 
     def _ship(self, packed: bytes | None) -> None:
-        if packed is not None and message_kind(packed) in TELLS:
+        if packed is not None and message_kind(packed) in VOTER_ANSWERS:
             self.world.told(self.process, cbor2.loads(packed[4:]))
         self._last = max(self._last, self.world.now + self.world.delay())
         self._way.append((self._last, packed))
@@ -160,7 +160,7 @@
             self.world.at(self._last, self._pump)
 
     def _pump(self) -> None:
-        """Deliver what is due; through a cut it comes when that has ended."""
+        """Delivers what is due; during a partition, once that has ended."""
         other = self.other
         assert other is not None
         until = self.world.blocked(self.process.host, other.process.host)
@@ -183,28 +183,28 @@
             self._deliver(other, packed)
 
     def _counts(self, packed: bytes) -> bool:
-        """Whether a fault may strike where this arrives."""
-        return message_kind(packed) not in SIGNS_OF_LIFE
+        """Whether the delivery of a message is a fault point."""
+        return message_kind(packed) not in LIVENESS_KINDS
 
     def _deliver(self, other: End, packed: bytes) -> None:
-        """One message arrives, perhaps twice, or behind others."""
+        """Delivers one message, possibly twice or after later ones."""
         if self.world.trace:
             self.world.say(f"{self.process.name} -> {other.process.name}", cbor2.loads(packed[4:]))
         self.world.heard(other.process, self.process, packed)
-        again, late = self.world.mess(packed)
-        if not late:
+        duplicated, delayed = self.world.draw_reordering(packed)
+        if not delayed:
             other.process.soon(lambda: other.take(packed))
-        if again or late:
+        if duplicated or delayed:
             self.world.after(
                 self.world.random.uniform(0, 0.1), lambda: other.process.soon(lambda: other.take(packed))
             )
 
     def take(self, packed: bytes) -> None:
         if not self.closed and self.protocol is not None:
-            self.protocol.data_received(self.world.spoil(packed))
+            self.protocol.data_received(self.world.corrupt(packed))
 
     def ended(self) -> None:
-        """The other side has closed, or its machine knows nothing of this connection."""
+        """Handles a close by the other side, or a reset by a machine that does not know this connection."""
 
         def close() -> None:
             if not self.closed:
@@ -224,20 +224,20 @@
 
 
 class Process:
-    """One life of a role on a machine."""
+    """One process of a role on a machine."""
 
     def __init__(self, world: World, machine: Machine, wiped: bool = False) -> None:
         self.world, self.machine, self.host = world, machine, machine.name
         self.alive = True
         self.frozen = False
-        self.wiped = wiped  # not at the first start, and on a disk that does not say that it is whole
+        self.wiped = wiped  # started again on a disk that does not record that it had caught up
         self.began = world.now
-        # whoever counted
+        # by kind of answer: who answered as a voter
         self.heard: dict[int, set[str]] = {
             kind_of(messages.FetchAnswer): set(),
             kind_of(messages.GrantsAnswer): set(),
         }
-        self.ends: dict[End, None] = {}  # in the order in which they began
+        self.ends: dict[End, None] = {}  # in the order in which they were opened
         self.role: Any = None
         machine.lives += 1
         self.name = f"{machine.name}#{machine.lives}"
@@ -252,7 +252,7 @@
         return self.loop.create_task(work)
 
     def end(self, quietly: bool) -> None:
-        """Killed; quietly: with its machine, which says nothing to anybody."""
+        """Kills the process; with `quietly` its machine fails too, so peers are not notified."""
         if not self.alive:
             return
         self.alive = False
@@ -266,21 +266,21 @@
 
 
 class Disk:
-    """What lies on a machine's disk: batches that are synced, and one that is only written."""
+    """The disk of a machine: synced batches, and one that is written but not synced."""
 
     def __init__(self) -> None:
         self.synced: list[bytes] = []
         self.written: list[bytes] = []
         self.well = True
         self.stalled_until = 0.0
-        self.slow = 1.0  # times the usual time of a sync
+        self.slow = 1.0  # multiple of the usual duration of a sync
 
     def records(self) -> list[Any]:
         return [record for batch in self.synced + self.written for record in unframe(batch)]
 
 
 class Machine:
-    """A host: up or off, its disk, who listens there."""
+    """A host: whether it is up, its disk, and its listeners."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -292,8 +292,8 @@
 
 
 class Store:
-    """`mesh.storage.record_store.RecordStore` on a fake disk: one batch at a time, a generation anew in each
-    life."""
+    """`mesh.storage.record_store.RecordStore` on a simulated disk: one batch at a time, and a new generation
+    in each process."""
 
     def __init__(self, folder: str, state: Callable[[], Iterable[Any]]) -> None:
         self._process = asyncio.get_running_loop().process  # type: ignore[attr-defined]
@@ -348,7 +348,7 @@
 
 
 class HttpServer:
-    """A role's HTTP address: calls are handed to the role itself."""
+    """Stands in for a role's HTTP server; tests pass requests to the role directly."""
 
     def __init__(self) -> None:
         self.listener = SimpleNamespace(last_requests=lambda: None, shut=lambda: None)
@@ -361,15 +361,15 @@
     return HttpServer()
 
 
-class Nothing:
-    """In place of the probes between sidecars: nobody here is one's rival or friend."""
+class NoFailureDetector:
+    """Stands in for the failure detector between sidecars, and does nothing."""
 
     def __init__(self, *told: Any) -> None:
         self.start = self.stop = self.knows = self.forgets = lambda *told: None
 
 
 class Log:
-    """In place of the log: what must never be said is kept, and who said what at which point."""
+    """Stands in for the log: records each line with its fault point and host, and exceptions as errors."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -384,8 +384,8 @@
         self._world.errors.append(f"{text}: {sys.exc_info()[1]!r}")
 
 
-class Ear:
-    """Hears the one answer to an operator's call."""
+class ResponseCallback:
+    """Passes the response to an admin call to a callback."""
 
     def __init__(self, then: Callable[[int, bytes], None]) -> None:
         self._then = then
--- a/tests/mesh/mesh_world.py
+++ b/tests/mesh/mesh_world.py
@@ -1,8 +1,8 @@
-"""A world of fake time for controllers and sidecars: a loop for each process, links and disks that can fail.
+"""A deterministic simulation of controllers and sidecars, with connections and disks that can fail.
 
-Nothing is real but the roles' own code: `Controller`, `Sidecar` (a claimant), `PeerConnection` and `Dialer`
-run as they are. One clock is shared; it goes on only when no process has anything to do. Every delivery of a
-message and every sync of a disk has a number, and a fault may strike at any of them.
+Only the code of the roles is real: `Controller`, `Sidecar` (a claimant), `PeerConnection` and `Dialer` run
+unchanged, each process on an event loop of its own. All share one simulated clock, which advances only when
+no process has anything to do. Every delivery of a message and every sync of a disk is a numbered fault point.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 import pytest
 from fake_machines import (
     Disk,
-    Ear,
     End,
     HttpServer,
     Log,
     Machine,
-    Nothing,
+    NoFailureDetector,
     Process,
+    ResponseCallback,
     Store,
     message_kind,
     open_http_server,
@@ -39,7 +39,7 @@
 from mesh.control.controller import Controller
 from mesh.errors import ErrorKind
 from mesh.proxy import context as proxy_context
-from mesh.proxy import control_client, directory, server_heartbeats
+from mesh.proxy import control_client, directory, server_beats
 from mesh.proxy import sidecar as sidecars
 from mesh.proxy.sidecar import Sidecar
 from mesh.state import configuration
@@ -48,7 +48,7 @@
 from mesh.transport import connection, messages
 from mesh.transport.messages import kind_of
 
-DAY = 1_900_000_000.0  # the time of day when a world begins
+DAY = 1_900_000_000.0  # time of day at the start of a simulation
 SETTINGS = """
 node_name = "{name}"
 ip = "{name}"
@@ -68,7 +68,7 @@
 def read_settings(
     name: str, seeds: tuple[str, ...], first: bool, bounds: str = "", losses: int = 1
 ) -> settings.Settings:
-    """What a process is told at its start."""
+    """Returns the settings of a process."""
     listed = ", ".join(f'"{seed}:82"' for seed in seeds)
     return settings.read(
         SETTINGS.format(name=name, seeds=listed, first=str(first).lower(), bounds=bounds, losses=losses)
@@ -76,16 +76,16 @@
 
 
 class Key:
-    """What became of one key: who granted it to whom, who was told to run it."""
+    """The history of one key: who granted it to whom, and who ran it."""
 
     def __init__(self) -> None:
-        self.grants: dict[str, set[str]] = {}  # by token, from all lives
+        self.grants: dict[str, set[str]] = {}  # by token, over all incarnations
         self.counted: dict[tuple[str, int], set[str]] = {}  # by token and epoch
         self.ran: list[str] = []
 
 
 class World:
-    """Controllers and claimants on machines of their own, an operator, and what was promised to whom."""
+    """Controllers and claimants on simulated machines, an operator, and a record of what was acknowledged."""
 
     def __init__(
         self,
@@ -103,23 +103,23 @@
         self.errors: list[str] = []
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
-        self._cuts: dict[tuple[str, str], float] = {}
+        self._blocked_until: dict[tuple[str, str], float] = {}
         self.processes: list[Process] = []
         self.machines: dict[str, Machine] = {}
-        self.points = self.story = 0  # all so far; those up to the end of the play's first part
+        self.points = self.workload_points = 0  # all so far; those of the workload
         self.faults_at: dict[int, Callable[[str], None]] = {}
         self.delay_s = (0.001, 0.004)
         self.sync_s = (0.002, 0.006)
-        self.spoil: Callable[[bytes], bytes] = lambda packed: packed  # what becomes of a message on its way
-        self.messed: frozenset[int] = frozenset()  # kinds that come twice now and then, or behind later ones
+        self.corrupt: Callable[[bytes], bytes] = lambda packed: packed  # applied to each message in transit
+        self.reordered_kinds: frozenset[int] = frozenset()  # message kinds that may be duplicated or delayed
         self.sent: dict[str, list[Item]] = {}
-        self.acked: dict[str, list[Item]] = {}
-        self.acked_at: list[tuple[float, Item]] = []
+        self.acknowledged: dict[str, list[Item]] = {}
+        self.acknowledged_at: list[tuple[float, Item]] = []
         self.keys: dict[str, Key] = {}
-        self.tokens: dict[str, str] = {}  # the key that each is for
+        self.tokens: dict[str, str] = {}  # by token: its key
         self.log_lines: list[tuple[int, str, str]] = []
-        self.voter_sets: dict[int, tuple[str, ...]] = {}  # by epoch: the voters that anybody believed in
-        self._told = {"bounds": bounds, "losses": losses}
+        self.voter_sets: dict[int, tuple[str, ...]] = {}  # by epoch: its voters, as any controller knows them
+        self._settings_options = {"bounds": bounds, "losses": losses}
         self.controllers = [f"10.0.0.{1 + at}" for at in range(size)]
         self.spares = [f"10.0.0.{1 + size + at}" for at in range(spares)]
         self.seeds = tuple(self.controllers)
@@ -144,14 +144,14 @@
             self._patch.setattr(module, "random", self.random)
         log = Log(self)
         control = (agreement, controllers, elections, heartbeats, peers, recovery, connection)
-        proxy = (control_client, directory, server_heartbeats, sidecars)
+        proxy = (control_client, directory, server_beats, sidecars)
         for module in (*control, *proxy):
             self._patch.setattr(module, "logger", log)
-        count = iter(range(1 << 30))  # sets of connections in the same order in every play
+        count = iter(range(1 << 30))  # gives sets of connections the same order in every run
         born = lambda made: made.__dict__.setdefault("_born", next(count))  # noqa: E731
         self._patch.setattr(connection.PeerConnection, "__hash__", born)
         self._patch.setattr(context, "RecordStore", Store)
-        self._patch.setattr(directory, "FailureDetector", Nothing)
+        self._patch.setattr(directory, "FailureDetector", NoFailureDetector)
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -177,7 +177,7 @@
         return self.random.uniform(*self.sync_s)
 
     def run(self, limit_s: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Let time go on, until something holds or for so long. Whether it holds."""
+        """Advances time until a condition holds or a limit is reached; returns whether it holds."""
         end = self.now + limit_s
         heap = self._heap
         while not until():
@@ -211,24 +211,24 @@
     # --- machines
 
     def end_of(self, port: int) -> type[End]:
-        """What an end of a connection to a port is."""
+        """Returns the class of the ends of connections to a port."""
         return End
 
     def start_controller(self, name: str, first: bool = False) -> None:
-        """Switch a machine on, or begin its next life."""
+        """Switches a machine on, or starts its next process."""
         machine = self.machines[name]
         if machine.process is not None and machine.process.alive:
             return
         machine.up = True
         for other in self.processes:
-            for end in list(other.ends):  # what was sent to the life before is found to be nobody's
+            for end in list(other.ends):  # data for the previous process is answered with a reset
                 if end.lost and end.other is not None and end.other.process.host == name:
                     self.after(self.delay(), end.ended)
         whole = first or any(record[0] == "whole" for record in machine.disk.records())
         process = machine.process = Process(self, machine, not whole)
 
         async def main() -> None:
-            process.role = Controller(read_settings(name, self.seeds, first, **self._told))
+            process.role = Controller(read_settings(name, self.seeds, first, **self._settings_options))
             await process.role.start()
 
         process.run(main())
@@ -238,13 +238,13 @@
         process = machine.process = Process(self, machine)
 
         async def main() -> None:
-            process.role = Sidecar(read_settings(name, self.seeds, False, **self._told))
+            process.role = Sidecar(read_settings(name, self.seeds, False, **self._settings_options))
             await process.role.start()
 
         process.run(main())
 
     def start(self) -> None:
-        """The first start of the whole system."""
+        """Starts the whole system for the first time."""
         for name in self.controllers:
             self.after(self.random.uniform(0, 0.1), lambda name=name: self.start_controller(name, True))
         for name in self.sidecars:
@@ -255,18 +255,18 @@
         return process.role if process is not None and process.alive else None
 
     def caught_up_controllers(self) -> list[str]:
-        """Controllers that know the voters and count."""
+        """Returns the controllers that know the voters and have caught up."""
         found = [(name, self.controller(name)) for name in self.controllers + self.spares]
         return [
             name
             for name, controller in found
-            if controller is not None and controller.counts and controller.voters.epoch
+            if controller is not None and controller.caught_up and controller.voters.epoch
         ]
 
     # --- faults
 
     def point(self, at: Process, by: Process) -> None:
-        """One more place where a fault may strike."""
+        """Counts a fault point, and injects the fault that is scheduled there."""
         self.points += 1
         strike = self.faults_at.pop(self.points, None)
         if strike is not None:
@@ -275,7 +275,7 @@
             strike(name if name in names else self.controllers[0])
 
     def power_off(self, name: str, back_s: float | None = None) -> None:
-        """Only what was synced is left."""
+        """Cuts power: only synced data is left."""
         machine = self.machines[name]
         if machine.process is not None:
             machine.process.end(quietly=True)
@@ -287,7 +287,7 @@
             self.after(back_s, lambda: self.start_controller(name))
 
     def kill(self, name: str, back_s: float | None = None) -> None:
-        """All that was written is left."""
+        """Kills the process: all written data is left."""
         machine = self.machines[name]
         if machine.process is not None:
             machine.process.end(quietly=False)
@@ -297,7 +297,7 @@
             self.after(back_s, lambda: self.start_controller(name))
 
     def term(self, name: str, grace_s: float = 6.0) -> None:
-        """SIGTERM: the role ends by itself, or is killed when its grace is over."""
+        """Sends SIGTERM: the role stops by itself, or is killed after its grace period."""
         process = self.machines[name].process
         assert process is not None
 
@@ -315,7 +315,7 @@
         self.after(grace_s, over)
 
     def wipe(self, name: str, back_s: float | None = None) -> None:
-        """Killed, and nothing is left."""
+        """Kills the process and wipes its disk."""
         machine = self.machines[name]
         self.kill(name)
         machine.disk = Disk()
@@ -323,7 +323,7 @@
             self.after(back_s, lambda: self.start_controller(name))
 
     def freeze(self, name: str, for_s: float) -> None:
-        """A process that stands still, and does not know it."""
+        """Suspends a process, which does not notice."""
         process = self.machines[name].process
         assert process is not None
         process.frozen = True
@@ -332,38 +332,38 @@
         self.after(for_s, lambda: setattr(process, "frozen", False))
 
     def reseed(self, seeds: Iterable[str]) -> None:
-        """Other seeds in all settings, told to those that run as well."""
+        """Changes the seeds in all settings, also of running processes."""
         self.seeds = tuple(seeds)
         for process in self.processes:
             if process.role is not None:
-                told = read_settings(process.host, self.seeds, False, **self._told)
+                told = read_settings(process.host, self.seeds, False, **self._settings_options)
                 process.soon(lambda role=process.role, told=told: role.resettle(told))
 
     def cut(self, name: str, for_s: float, others: Iterable[str] = ()) -> None:
-        """Nothing passes between a machine and others, or all others; what is sent comes when it ends."""
+        """Partitions a machine from others, by default all; data sent meanwhile arrives afterwards."""
         for other in others or self.machines:
-            self._cuts[name, other] = self._cuts[other, name] = self.now + for_s
+            self._blocked_until[name, other] = self._blocked_until[other, name] = self.now + for_s
         if self.trace:
             self.say(name, f"CUT {others or 'off'} for {for_s} s")
 
     def cut_one_way(self, name: str, for_s: float, others: Iterable[str], outward: bool) -> None:
-        """Nothing passes from a machine to others, or nothing from others to it."""
+        """Blocks one direction between a machine and others."""
         for other in others:
-            self._cuts[(name, other) if outward else (other, name)] = self.now + for_s
+            self._blocked_until[(name, other) if outward else (other, name)] = self.now + for_s
 
     def blocked(self, one: str, other: str) -> float:
-        """Until when nothing passes; 0 where it does."""
-        until = self._cuts.get((one, other), 0.0)
+        """Returns until when a direction is blocked; 0 if it is not."""
+        until = self._blocked_until.get((one, other), 0.0)
         return until if until > self.now else 0.0
 
-    def mess(self, packed: bytes) -> tuple[bool, bool]:
-        """Whether a message comes once more, and whether it comes out of its order."""
-        if message_kind(packed) not in self.messed:
+    def draw_reordering(self, packed: bytes) -> tuple[bool, bool]:
+        """Returns whether a message is duplicated, and whether it is delayed."""
+        if message_kind(packed) not in self.reordered_kinds:
             return False, False
         draw = self.random.random()
         return draw < 0.2, 0.1 < draw < 0.3
 
-    # --- rules that are looked at as it runs
+    # --- invariants that are checked during the run
 
     def heard(self, process: Process, by: Process, packed: bytes) -> None:
         kind = message_kind(packed)
@@ -371,11 +371,11 @@
             return
         message = messages.decode(cbor2.loads(packed[4:]))
         assert isinstance(message, messages.FetchAnswer | messages.GrantsAnswer)
-        if message.yes and not getattr(message, "more", False):  # grants come in parts
+        if message.yes and not getattr(message, "more", False):  # grants arrive in parts
             process.heard[kind].add(by.host)
 
     def told(self, process: Process, message: list[Any]) -> None:
-        """A controller tells something that only one that counts may tell."""
+        """Checks a message that only a controller that has caught up may send."""
         kind = message[0]
         self.check_voters(process.role.voters)
         if kind == kind_of(messages.ClaimAnswer) and message[2] == 1:
@@ -390,7 +390,7 @@
                         self.errors.append(f"a key that {ran} ran was granted to {message[3]} by enough")
         yes = message[2] >= 0 if kind == kind_of(messages.ClaimAnswer) else message[2]
         if yes and process.wiped:
-            # Whole in an epoch by as many as were to be heard in it, or in one before that it follows.
+            # It must have heard the read quorum of the epoch in which it caught up, or of an earlier one.
             until = max(1, process.role.context.member.whole)
             need = min(
                 (Voters(*told).read for told in self.voter_sets.items() if told[0] <= until), default=1
@@ -398,10 +398,10 @@
             few = [messages.KINDS[kind].__name__ for kind, by in process.heard.items() if len(by) < need]
             if few or not process.role.voters.epoch:
                 self.errors.append(f"{process.name}, wiped, tells {message} before it has recovered: {few}")
-            self._whole(process)
+            self._check_recovered(process)
 
     def check_voters(self, voters: Voters) -> None:
-        """Of one epoch there is one set."""
+        """Checks that each epoch has one set of voters."""
         if voters.epoch and self.voter_sets.setdefault(voters.epoch, voters.names) != voters.names:
             self.errors.append(f"{voters} beside {self.voter_sets[voters.epoch]}")
 
@@ -409,20 +409,22 @@
         name = self.tokens.get(message[3])
         return self.keys[name] if name is not None else None
 
-    def _whole(self, process: Process) -> None:
-        """A wiped controller that counts has all that was acknowledged before it began: among its items, or
-        as a change that it has accepted in the place of those who had."""
+    def _check_recovered(self, process: Process) -> None:
+        """Checks that a wiped controller that has caught up holds everything acknowledged before its start.
+
+        An acknowledged item is among its items, or in a draft that it has adopted.
+        """
         open_ = process.role.agreement.replica.open_draft
         drafted = {item.name: item for item in open_.items} if open_ is not None else {}
-        for when, item in self.acked_at:
+        for when, item in self.acknowledged_at:
             mine = drafted.get(item.name) or process.role.items.get(item.name)
             if when < process.began and (mine is None or mine.version < item.version):
-                self.errors.append(f"{process.name} counts again without {item.name} r{item.version}")
+                self.errors.append(f"{process.name} caught up without {item.name} r{item.version}")
 
     # --- the operator
 
     def call(self, name: str, method: bytes, body: bytes, then: Callable[[int, bytes], None]) -> None:
-        """One call on a controller's control address."""
+        """Sends one request to a controller's control address."""
         machine = self.machines[name]
 
         def arrive() -> None:
@@ -431,7 +433,7 @@
                 return
 
             def serve() -> None:
-                message = Message(Ear(then))  # type: ignore[arg-type]
+                message = Message(ResponseCallback(then))  # type: ignore[arg-type]
                 message.method, message.target, message.body = method, b"/-/config", body
                 process.role.api.serve(message)
 
@@ -442,7 +444,7 @@
     async def ask(
         self, name: str, method: bytes, body: bytes = b"", wait_s: float = 1.2
     ) -> tuple[int, bytes]:
-        """The same from the operator's own process; 0 where no answer comes."""
+        """Sends a request from the operator's process; the status is 0 if no response arrives."""
         loop = self.operator.loop
         heard: asyncio.Future[tuple[int, bytes]] = loop.create_future()
 
@@ -469,11 +471,11 @@
 
     def _acknowledge(self, body: bytes) -> None:
         for item in configuration.parse_change(body).ok:
-            self.acked.setdefault(item.name, []).append(item)
-            self.acked_at.append((self.now, item))
+            self.acknowledged.setdefault(item.name, []).append(item)
+            self.acknowledged_at.append((self.now, item))
 
     async def patch(self, first: int, body: bytes, tries: int = 12) -> int:
-        """A change, sent again to the next controller until it is answered for good."""
+        """Sends a change to one controller after the other until it gets 200 or 400."""
         for at in range(tries):
             status, _ = await self.ask(self.controllers[(first + at) % len(self.controllers)], b"PATCH", body)
             if status in (200, 400):
@@ -484,7 +486,7 @@
     # --- claimants
 
     def claim(self, name: str, key: str, left_s: float = 8.0) -> list[str]:
-        """Have a claimant's real code claim a key. The list gets its outcome."""
+        """Claims a key with a claimant's real code; the outcome is appended to the returned list."""
         process = self.machines[name].process
         assert process is not None
         sidecar = process.role
@@ -503,7 +505,7 @@
             if len(found.ran) > 1:
                 self.errors.append(f"{key_of} ran twice: {found.ran}")
             found.counted.clear()
-            found.grants.clear()  # what others were granted so far, they could not run with
+            found.grants.clear()  # earlier grants to others were not enough to run
             job.outcome.append("RUN")
 
         def tell(told: messages.ForwardAnswer) -> None:
@@ -520,7 +522,7 @@
         return outcome
 
     def record(self, name: str, key: str) -> None:
-        """The claimant that ran a key tells its answer."""
+        """Has the claimant that ran a key report its answer."""
         process = self.machines[name].process
         token = self.keys[key].ran[0]
         reply = SimpleNamespace(status=200, headers=[], body=b"done")
--- a/tests/mesh/operator_calls.py
+++ b/tests/mesh/operator_calls.py
@@ -1,4 +1,4 @@
-"""An operator's calls, and what is asked of the answers."""
+"""Admin calls of an operator, and checks of their responses."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class InvariantViolation(AssertionError):
-    """A rule that did not hold."""
+    """Raised when an invariant does not hold."""
 
 
-def service(name: str, version: int, most: int = 8) -> dict[str, Any]:
-    return {"name": name, "health_path": "/health", "max_conns": most, "revision": f"r{version}"}
+def service(name: str, version: int, max_conns: int = 8) -> dict[str, Any]:
+    return {"name": name, "health_path": "/health", "max_conns": max_conns, "revision": f"r{version}"}
 
 
 def route(name: str, version: int, prefix: str, to: str = "berths", timeout: str = "2s") -> dict[str, Any]:
@@ -34,7 +34,7 @@
 def change(
     services: Iterable[Any] = (), routes: Iterable[Any] = (), dropped: Iterable[tuple[str, int]] = ()
 ) -> bytes:
-    """An operator's call."""
+    """Returns the body of an admin call."""
     found: dict[str, Any] = {"upserts": {"cluster_list": list(services)}}
     if routes:
         found["upserts"]["listener_list"] = [{"hostname": "ferry.example", "rule_set": list(routes)}]
@@ -44,8 +44,8 @@
     return json.dumps(found).encode()
 
 
-def standing(body: bytes) -> dict[str, int]:
-    """Versions by name, of what GET answered."""
+def versions_in(body: bytes) -> dict[str, int]:
+    """Returns the versions by name in a response to GET."""
     whole = json.loads(body)
     found = {f"service/{entry['name']}": entry for entry in whole["cluster_list"]}
     for listener in whole["listener_list"]:
@@ -53,8 +53,8 @@
     return {name: int(entry["revision"][1:]) for name, entry in found.items()}
 
 
-def contents(body: bytes) -> dict[str, Item]:
-    """What GET answered, as items."""
+def items_in(body: bytes) -> dict[str, Item]:
+    """Returns the items in a response to GET."""
     return {
         item.name: item
         for item in configuration.parse_change(json.dumps({"upserts": json.loads(body)}).encode()).ok
@@ -62,27 +62,32 @@
 
 
 def read_back(world: World, body: bytes) -> None:
-    """Every acknowledged item at its newest acknowledged version, with the content that was acknowledged, or
-    at one sent later; and of no version were two contents acknowledged."""
-    there, stands = standing(body), contents(body)
-    for name, items in world.acked.items():
+    """Checks a response to GET against what was acknowledged.
+
+    Every item must have its newest acknowledged version with the acknowledged content, or a version that was
+    sent later; and no version may have two acknowledged contents.
+    """
+    found_versions, found_items = versions_in(body), items_in(body)
+    for name, items in world.acknowledged.items():
         newest = max(items, key=lambda item: item.version)
-        same = {item for item in items if item.version == newest.version}
-        if len(same) > 1:
+        acknowledged_contents = {item for item in items if item.version == newest.version}
+        if len(acknowledged_contents) > 1:
             raise InvariantViolation(f"two contents of {name} r{newest.version} were acknowledged")
-        if name in there and there[name] == newest.version and stands[name] != newest:
+        if name in found_versions and found_versions[name] == newest.version and found_items[name] != newest:
             raise InvariantViolation(
-                f"{name} r{newest.version} was acknowledged, and another content is read back"
+                f"{name} r{newest.version} was acknowledged, but another content is read back"
             )
-        later = [item for item in world.sent[name] if item.version >= newest.version]
-        dropped = any(not item.content for item in later)
-        if name in there and there[name] < newest.version:
+        possible = [item for item in world.sent[name] if item.version >= newest.version]
+        dropped = any(not item.content for item in possible)
+        if name in found_versions and found_versions[name] < newest.version:
             raise InvariantViolation(
-                f"{name} r{newest.version} was acknowledged, and r{there[name]} is read back"
+                f"{name} r{newest.version} was acknowledged, but r{found_versions[name]} is read back"
             )
-        if name not in there and not dropped:
-            raise InvariantViolation(f"{name} r{newest.version} was acknowledged, and is not read back")
-        if name in there and there[name] not in {item.version for item in later if item.content}:
+        if name not in found_versions and not dropped:
+            raise InvariantViolation(f"{name} r{newest.version} was acknowledged, but is not read back")
+        if name in found_versions and found_versions[name] not in {
+            item.version for item in possible if item.content
+        }:
             raise InvariantViolation(
-                f"{name} r{newest.version} was acknowledged as dropped, and is read back"
+                f"{name} r{newest.version} was acknowledged as removed, but is read back"
             )
--- a/tests/mesh/test_mesh_api.py
+++ b/tests/mesh/test_mesh_api.py
@@ -1,4 +1,4 @@
-"""The mesh's calls as docs/api/mesh.json tells them, and the code: neither says what the other does not."""
+"""Consistency of the HTTP API with its description in docs/api/mesh.json, in both directions."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 service = "berths"
 """
 ME = "192.0.2.1:7000"
-STRANGE = ("/", "/-/", "/-/other", "/-/config/x", "/-/instances", "/-/readiness/")
+UNKNOWN_PATHS = ("/", "/-/", "/-/other", "/-/config/x", "/-/instances", "/-/readiness/")
 
 
 class ResponseRecorder:
-    """Hears the one answer to a request."""
+    """Records the response to a request."""
 
     def __init__(self) -> None:
         self.status, self.body, self.headers = 0, b"", []  # type: ignore[var-annotated]
@@ -57,7 +57,7 @@
 
 
 class Disk:
-    """Takes each record at once, or none."""
+    """A record store that writes each record at once, or fails."""
 
     def __init__(self, well: bool = True) -> None:
         self.well = well
@@ -79,22 +79,22 @@
 async def call(
     serve: Callable[[Message], None], method: str, path: str, body: Any = None
 ) -> ResponseRecorder:
-    """One request through a role's own dispatch."""
-    ear = ResponseRecorder()
-    message = Message(ear)  # type: ignore[arg-type]
+    """Sends one request to a role's own handler."""
+    response = ResponseRecorder()
+    message = Message(response)  # type: ignore[arg-type]
     message.method, message.target = method.upper().encode(), path.encode()
     message.body = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
     serve(message)
     for _ in range(100):
-        if ear.status:
+        if response.status:
             break
-        await asyncio.sleep(0)  # turns of the loop, no time
-    assert ear.status, "not answered"
-    return ear
+        await asyncio.sleep(0)  # turns of the event loop, without waiting
+    assert response.status, "not answered"
+    return response
 
 
 def http_servers() -> dict[tuple[str, str], Callable[[Message], None]]:
-    """By role and address: what answers there."""
+    """Returns the request handlers by role and address."""
     sidecar = Sidecar(settings.read(SETTINGS).ok)
     return {
         ("controller", "control"): make_controller().api.serve,
@@ -103,57 +103,57 @@
     }
 
 
-def told(path: str, method: str, role: str, door: str) -> bool:
-    """Whether the file says that it is answered there."""
+def is_described(path: str, method: str, role: str, door: str) -> bool:
+    """Whether the API description lists the operation at this address."""
     return any((path, method) == (p, m) and op["x-door"].get(role) == door for p, m, op in OPERATIONS)
 
 
-def test_each_door_answers_what_the_file_says_and_404_to_all_else() -> None:
+def test_each_address_serves_the_described_operations_and_404_otherwise() -> None:
     async def play() -> None:
         for (role, door), serve in http_servers().items():
-            for path in [*FILE["paths"], *STRANGE]:
+            for path in [*FILE["paths"], *UNKNOWN_PATHS]:
                 for method in METHODS:
                     body = {"put": BEAT, "patch": CHANGE}.get(method)
-                    ear = await call(serve, method, path.replace("{id}", "i-1") + "?q=1", body)
-                    if told(path, method, role, door):
-                        assert ear.status == 200 or path == "/-/readiness" and ear.status == 503
+                    response = await call(serve, method, path.replace("{id}", "i-1") + "?q=1", body)
+                    if is_described(path, method, role, door):
+                        assert response.status == 200 or path == "/-/readiness" and response.status == 503
                     elif path != "/-/readiness" or (role, door) == ("sidecar", "control"):
-                        assert ear.status == 404, (role, door, method, path)
+                        assert response.status == 404, (role, door, method, path)
 
     asyncio.run(play())
 
 
-def test_roles_and_doors_of_the_file_exist() -> None:
+def test_described_roles_and_addresses_exist() -> None:
     known = {("controller", "control"), ("sidecar", "control"), ("sidecar", "ready")}
     for _, _, operation in OPERATIONS:
         assert set(operation["x-role"]) == set(operation["x-door"])
         assert set(operation["x-door"].items()) <= known
 
 
-def said(path: str, method: str, ear: ResponseRecorder) -> int:
-    """An answer's status, once it is one that the file tells, with its headers and its body."""
-    entry = FILE["paths"][path][method]["responses"][str(ear.status)]
-    headers = dict(ear.headers)
+def checked_status(path: str, method: str, response: ResponseRecorder) -> int:
+    """Checks a response against the API description and returns its status."""
+    entry = FILE["paths"][path][method]["responses"][str(response.status)]
+    headers = dict(response.headers)
     retry = entry.get("headers", {}).get("Retry-After")
     assert (b"Retry-After" in headers) == (retry is not None)
     if retry is not None:
         assert headers[b"Retry-After"].decode() == retry["schema"]["const"]
     if "content" in entry:
-        assert headers[b"Content-Type"] == b"application/json" and isinstance(json.loads(ear.body), dict)
-    return ear.status
+        assert headers[b"Content-Type"] == b"application/json" and isinstance(json.loads(response.body), dict)
+    return response.status
 
 
-def test_every_answer_that_the_file_tells_is_given(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_every_described_status_occurs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_api, "ROUND_TIMEOUT_S", 0.0)
-    monkeypatch.setattr(admin_api, "ANSWER_S", 0.0)
+    monkeypatch.setattr(admin_api, "REQUEST_TIMEOUT_S", 0.0)
     seen: dict[tuple[str, str], set[int]] = {(path, method): set() for path, method, _ in OPERATIONS}
 
     async def ask(
         serve: Callable[[Message], None], method: str, path: str, body: Any = None
     ) -> ResponseRecorder:
-        ear = await call(serve, method, path.replace("{id}", "i-1"), body)
-        seen[path, method].add(said(path, method, ear))
-        return ear
+        response = await call(serve, method, path.replace("{id}", "i-1"), body)
+        seen[path, method].add(checked_status(path, method, response))
+        return response
 
     async def play() -> None:
         config, instance = "/-/config", "/-/instances/{id}"
@@ -198,8 +198,8 @@
 # --- schemas
 
 
-def followed(schema: dict[str, Any]) -> dict[str, Any]:
-    """A schema, where it stands by name the named one."""
+def resolve(schema: dict[str, Any]) -> dict[str, Any]:
+    """Resolves a schema reference."""
     name = schema.get("$ref", "").rpartition("/")[2]
     return {**SCHEMAS[name], **schema} if name else schema
 
@@ -207,21 +207,21 @@
 Way = tuple[Any, ...]
 
 
-def places(schema: dict[str, Any], value: Any, way: Way = ()) -> Iterator[tuple[dict[str, Any], Way]]:
-    """Every place of an example, with what the file says of it."""
-    schema = followed(schema)
+def walk_example(schema: dict[str, Any], value: Any, way: Way = ()) -> Iterator[tuple[dict[str, Any], Way]]:
+    """Yields each value of an example with its schema and path."""
+    schema = resolve(schema)
     yield schema, way
     if isinstance(value, dict):
-        assert set(value) <= set(schema["properties"]), f"{way}: the file does not tell of a field"
+        assert set(value) <= set(schema["properties"]), f"{way}: a field is not described"
         for key, inner in value.items():
-            yield from places(schema["properties"][key], inner, (*way, key))
+            yield from walk_example(schema["properties"][key], inner, (*way, key))
     elif isinstance(value, list):
         for at, inner in enumerate(value):
-            yield from places(schema["items"], inner, (*way, at))
+            yield from walk_example(schema["items"], inner, (*way, at))
 
 
-def changed(example: Any, way: Way, value: Any = None, drop: bool = False) -> Any:
-    """The example with one place changed, or taken out."""
+def with_change(example: Any, way: Way, value: Any = None, drop: bool = False) -> Any:
+    """Returns a copy of the example with one value changed or removed."""
     made = copy.deepcopy(example)
     at = made
     for part in way[:-1]:
@@ -233,15 +233,15 @@
     return made
 
 
-def taken(change: Any) -> bool:
+def accepted(change: Any) -> bool:
     return bool(configuration.parse_change(json.dumps(change).encode()).is_ok())
 
 
-PLACES = list(places({"$ref": "#/components/schemas/Change"}, CHANGE))
+PLACES = list(walk_example({"$ref": "#/components/schemas/Change"}, CHANGE))
 
 
-def test_the_example_is_taken_and_shows_every_field() -> None:
-    assert taken(CHANGE)
+def test_the_example_is_accepted_and_contains_every_field() -> None:
+    assert accepted(CHANGE)
     shown: dict[str, set[str]] = {}
     for schema, way in PLACES:
         if "properties" in schema:
@@ -253,7 +253,7 @@
         assert set(schema.get("properties", ())) == shown.get(schema.get("description", ""), set())
 
 
-def test_required_fields_are_demanded_and_others_are_not() -> None:
+def test_exactly_the_required_fields_are_mandatory() -> None:
     for schema, way in PLACES:
         if "properties" not in schema:
             continue
@@ -264,10 +264,10 @@
             left = set(at) - {key}
             choices = [set(choice["required"]) for choice in schema.get("anyOf", [{"required": []}])]
             enough = set(schema.get("required", ())) <= left and any(choice <= left for choice in choices)
-            assert taken(changed(CHANGE, (*way, key), drop=True)) == enough, (*way, key)
+            assert accepted(with_change(CHANGE, (*way, key), drop=True)) == enough, (*way, key)
 
 
-def test_values_that_the_file_rules_out_are_refused() -> None:
+def test_values_that_the_schema_excludes_are_rejected() -> None:
     tried = 0
     for schema, way in PLACES:
         bad: list[Any] = []
@@ -286,24 +286,24 @@
         if schema.get("type") in ("object", "array") and way:
             bad += ["no"]
         for value in bad:
-            assert not taken(changed(CHANGE, way, value)), (way, value)
+            assert not accepted(with_change(CHANGE, way, value)), (way, value)
         tried += len(bad)
     assert tried > 100
 
 
-def test_variants_and_every_one_of_them() -> None:
+def test_every_described_variant_is_accepted() -> None:
     variants = SCHEMAS["Rule"]["properties"]["variant"]["enum"]
     assert tuple(variants) == configuration.VARIANTS
     way = ("upserts", "listener_list", 0, "rule_set", 0, "variant")
-    assert all(taken(changed(CHANGE, way, variant)) for variant in variants)
+    assert all(accepted(with_change(CHANGE, way, variant)) for variant in variants)
 
 
-def test_patterns_are_the_code_s_own() -> None:
-    assert SCHEMAS["Revision"]["pattern"] == f"^{configuration.VERSION.pattern}$"
+def test_patterns_equal_those_of_the_code() -> None:
+    assert SCHEMAS["Revision"]["pattern"] == f"^{configuration.REVISION_PATTERN.pattern}$"
     assert SCHEMAS["Duration"]["pattern"] == f"^{settings.DURATION.pattern}$"
 
 
-def test_beats_demand_what_the_file_says() -> None:
+def test_heartbeats_require_the_described_fields() -> None:
     schema = SCHEMAS["Beat"]
     assert set(BEAT) == set(schema["properties"])
 
@@ -311,8 +311,8 @@
         for key in BEAT:
             sidecar = Sidecar(settings.read(SETTINGS).ok)
             body = {name: value for name, value in BEAT.items() if name != key}
-            ear = await call(sidecar.beats.serve, "put", "/-/instances/i-1", body)
-            assert ear.status == (400 if key in schema["required"] else 200), key
+            response = await call(sidecar.beats.serve, "put", "/-/instances/i-1", body)
+            assert response.status == (400 if key in schema["required"] else 200), key
         for state in schema["properties"]["state"]["enum"]:
             sidecar = Sidecar(settings.read(SETTINGS).ok)
             await call(sidecar.beats.serve, "put", "/-/instances/i-1", {**BEAT, "state": state})
--- a/tests/mesh/test_mesh_checksums.py
+++ b/tests/mesh/test_mesh_checksums.py
@@ -1,4 +1,4 @@
-"""Tables that are transferred carry a checksum: what is not as it was sent is asked for anew."""
+"""Checksums of transferred items and grants: corrupted ones are dropped and requested again."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 @given(ROWS, st.lists(GRANTS))
-def test_a_checksum_is_the_same_where_rows_arrive(items, grants):
+def test_a_checksum_survives_encoding_and_decoding(items, grants):
     sent = Items(1, tuple(items), checksum(items))
     found = decode(cbor2.loads(cbor2.dumps(encode(sent))))
     assert isinstance(found, Items) and matches_checksum(found.items, found.checksum)
@@ -52,70 +52,70 @@
 
 
 @given(ROWS.filter(bool), st.data())
-def test_rows_that_differ_have_another(items, data):
+def test_different_rows_have_different_checksums(items, data):
     at = data.draw(st.integers(0, len(items) - 1))
     other = items.copy()
     other[at] = items[at]._replace(version=items[at].version + 1)
     assert checksum(other) != checksum(items) and checksum(items[:at]) != checksum(items)
-    assert matches_checksum(other, None), "an older version tells no checksum"
+    assert matches_checksum(other, None), "an older version sends no checksum"
 
 
 @played
-def _spoilt_items(scene):
-    later = []
-    scene.sidecar.context.loop.call_later = lambda wait_s, *call: later.append((wait_s, call))
+def _corrupted_items(scene):
+    scheduled = []
+    scene.sidecar.context.loop.call_later = lambda wait_s, *call: scheduled.append((wait_s, call))
     link = Link("c1")
     item = Item("service/extra", 7, json.dumps({"name": "extra", "revision": "r7"}))
-    spoilt = Items(1, (item,), checksum((item,)) ^ 1)
-    scene.sidecar.control.hear_items(link, spoilt)
-    assert "service/extra" not in scene.sidecar.items and not link.said, "neither taken nor acknowledged"
-    ((wait_s, (ask, *told)),) = later
-    ask(*told)
+    corrupted = Items(1, (item,), checksum((item,)) ^ 1)
+    scene.sidecar.control.hear_items(link, corrupted)
+    assert "service/extra" not in scene.sidecar.items and not link.said, "neither merged nor acknowledged"
+    ((wait_s, (pull, *told)),) = scheduled
+    pull(*told)
     assert wait_s == control_client.PULL_TIMEOUT_S and link.said[0][0] == kind_of(Pull)
     scene.sidecar.control.hear_items(link, Items(2, (item,), checksum((item,))))
     assert scene.sidecar.items["service/extra"] == item
 
 
-def test_a_sidecar_asks_anew_for_items_that_are_not_as_they_were_sent():
-    _spoilt_items()
+def test_a_sidecar_requests_corrupted_items_again():
+    _corrupted_items()
 
 
-def spoil(world: World, kind: type[messages.Message], times: int) -> list[int]:
-    """Change the checksum of the next messages of a kind, whoever hears them."""
-    spoilt: list[int] = []
-    field = kind.__struct_fields__.index("checksum") + 1  # behind the kind
+def corrupt_checksums(world: World, kind: type[messages.Message], times: int) -> list[int]:
+    """Corrupts the checksum of the next messages of a type, at any receiver."""
+    corrupted: list[int] = []
+    field = kind.__struct_fields__.index("checksum") + 1  # the message kind comes first
 
     def change_checksum(packed: bytes) -> bytes:
         row = cbor2.loads(packed[4:])
-        if row[0] != kind_of(kind) or len(spoilt) == times or row[field] is None:
+        if row[0] != kind_of(kind) or len(corrupted) == times or row[field] is None:
             return packed
-        spoilt.append(row[field])
+        corrupted.append(row[field])
         row[field] ^= 1
         encoded = cbor2.dumps(row)
         return len(encoded).to_bytes(4, "big") + encoded
 
-    world.spoil = change_checksum
-    return spoilt
+    world.corrupt = change_checksum
+    return corrupted
 
 
 @pytest.mark.parametrize("kind", [FetchAnswer, GrantsAnswer])
-def test_an_emptied_controller_is_whole_all_the_same_and_lacks_nothing(kind):
+def test_a_wiped_controller_recovers_completely_despite_corrupted_answers(kind):
     async def story(world: World) -> None:
         assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
         assert await world.patch(0, change([service("berths", 1)])) == 200
         assert await claimed(world, world.sidecars[0], "key") == "RUN"
-        spoilt = spoil(world, kind, 6)
+        corrupted = corrupt_checksums(world, kind, 6)
         name = world.controllers[0]
         world.wipe(name, 0.01)
         assert await until(lambda: name in world.caught_up_controllers(), 8.0)
-        assert len(spoilt) == 6
+        assert len(corrupted) == 6
         role = world.controller(name)
         assert role is not None and "service/berths" in role.items and len(role.grants.registry)
 
     in_a_world(story)
 
 
-def test_an_order_of_a_revision_with_many_digits_reaches_sidecars_and_an_emptied_controller():
+def test_a_revision_with_many_digits_reaches_sidecars_and_a_wiped_controller():
     async def story(world: World) -> None:
         assert await until(lambda: len(world.caught_up_controllers()) == len(world.controllers))
         version = 10**30
--- a/tests/mesh/test_mesh_configuration.py
+++ b/tests/mesh/test_mesh_configuration.py
@@ -1,4 +1,4 @@
-"""Items of the configuration: how copies merge, what a call may hold, what a table makes of it."""
+"""Configuration items: merging copies, parsing and validating admin calls, building the table."""
 
 import itertools
 import json
@@ -10,7 +10,7 @@
 from mesh.state import configuration
 from mesh.state.configuration import EMPTY, Cluster, Item, Limits, Route
 
-NEWS = st.lists(
+ITEM_LISTS = st.lists(
     st.builds(
         Item,
         st.sampled_from(("route/a", "route/b", "service/s", "limit")),
@@ -22,12 +22,12 @@
 
 
 def cluster(name, revision="r1", **more):
-    """A service as an operator writes it."""
+    """Returns a service as in an admin call."""
     return {"name": name, "revision": revision, **more}
 
 
 def rule(name, prefix="/", service="s", revision="r1", timeout="2s", **more):
-    """A route as an operator writes it."""
+    """Returns a routing rule as in an admin call."""
     return {
         "name": name,
         "revision": revision,
@@ -39,12 +39,12 @@
 
 
 def split(parts):
-    """The effect of a route that goes to several services."""
+    """Returns the effect of a rule that splits requests over several services."""
     return {"timeout": "1s", "weighted_split": parts}
 
 
 def call(rules=(), clusters=(), host="shop.test", **more):
-    """A call of an operator."""
+    """Returns the body of an admin call."""
     upserts = {"listener_list": [{"hostname": host, "rule_set": list(rules)}], "cluster_list": list(clusters)}
     return {"upserts": {**upserts, **more}}
 
@@ -54,7 +54,7 @@
 
 
 def items(*calls):
-    """All that several calls make together."""
+    """Returns the merged items of several calls."""
     made = EMPTY
     for raw in calls:
         made = configuration.merge(made, read(raw).ok)
@@ -64,15 +64,15 @@
 # --- merging
 
 
-@given(NEWS, NEWS)
-def test_merge_commutes(a, b):
+@given(ITEM_LISTS, ITEM_LISTS)
+def test_merge_is_commutative(a, b):
     assert configuration.merge(configuration.merge(EMPTY, a), b) == configuration.merge(
         configuration.merge(EMPTY, b), a
     )
 
 
-@given(NEWS, NEWS, NEWS)
-def test_merge_associates(a, b, c):
+@given(ITEM_LISTS, ITEM_LISTS, ITEM_LISTS)
+def test_merge_is_associative(a, b, c):
     left = configuration.merge(configuration.merge(configuration.merge(EMPTY, a), b), c)
     right = configuration.merge(
         configuration.merge(EMPTY, a), configuration.merge(configuration.merge(EMPTY, b), c).values()
@@ -80,33 +80,36 @@
     assert left == right == configuration.merge(EMPTY, [*c, *a, *b])
 
 
-@given(NEWS)
-def test_a_repeat_does_nothing_at_all(news):
-    once = configuration.merge(EMPTY, news)
-    assert configuration.merge(once, news) is once
+@given(ITEM_LISTS)
+def test_merging_the_same_items_again_changes_nothing(changes):
+    once = configuration.merge(EMPTY, changes)
+    assert configuration.merge(once, changes) is once
     assert configuration.merge(once, once.values()) is once
 
 
-@given(NEWS, NEWS)
-def test_merge_never_goes_back(old, news):
+@given(ITEM_LISTS, ITEM_LISTS)
+def test_merge_never_lowers_a_version(old, changes):
     before = configuration.merge(EMPTY, old)
-    after = configuration.merge(before, news)
+    after = configuration.merge(before, changes)
     for name, item in before.items():
         assert (after[name].version, after[name].content) >= (item.version, item.content)
-    for item in news:
+    for item in changes:
         assert after[item.name].version >= item.version
 
 
 @given(st.permutations([Item("limit", 3, text) for text in ("", '{"x":0}', '{"x":1}', '{"x":2}')]))
-def test_equal_versions_with_other_content_end_the_same(news):
-    assert configuration.merge(EMPTY, news)["limit"].content == '{"x":2}'
-    assert configuration.merge(configuration.merge(EMPTY, news[:2]), news[2:])["limit"].content == '{"x":2}'
+def test_different_contents_of_one_version_merge_the_same_in_any_order(changes):
+    assert configuration.merge(EMPTY, changes)["limit"].content == '{"x":2}'
+    assert (
+        configuration.merge(configuration.merge(EMPTY, changes[:2]), changes[2:])["limit"].content
+        == '{"x":2}'
+    )
 
 
-# --- reading
+# --- parsing
 
 
-def test_a_whole_call_is_read():
+def test_a_complete_call_is_parsed():
     parts = [{"service": "s", "weight": 3}, {"service": "t", "weight": 1}]
     raw = call(
         [
@@ -139,7 +142,7 @@
     assert configuration.parse_item(found["limit"]) == Limits(100, 48 << 20, 3.0, 4.0)
 
 
-def test_drops_are_read_and_beat_only_what_is_older():
+def test_removals_are_parsed_and_supersede_only_older_versions():
     drops = {
         "route_list": [{"name": "a", "revision": "r3"}],
         "service_list": [{"name": "s", "revision": "r4"}],
@@ -152,13 +155,13 @@
 
 
 @given(st.data())
-def test_a_call_cut_short_is_refused(data):
+def test_a_truncated_call_is_rejected(data):
     body = json.dumps(call([rule("a")], [cluster("s")])).encode()
     assert configuration.parse_change(body[: data.draw(st.integers(0, len(body) - 1))]).is_error()
 
 
 @given(st.binary(max_size=60))
-def test_no_bytes_at_all_raise(body):
+def test_arbitrary_bytes_never_raise(body):
     configuration.parse_change(body)
 
 
@@ -194,7 +197,7 @@
     ),
     JSON_VALUES,
 )
-def test_unknown_shapes_never_raise_and_what_is_read_can_be_built(path, value):
+def test_unexpected_json_never_raises_and_accepted_items_can_be_built(path, value):
     raw = {**call([rule("a")], [cluster("s")]), "removals": {}}
     at = raw
     for part in path[:-1]:
@@ -202,12 +205,12 @@
     at[path[-1]] = value
     found = read(raw)
     if found.is_ok():
-        table, wrong = configuration.build_table(configuration.merge(EMPTY, found.ok))
-        assert len(wrong) <= 1 and len(table.routes_by_host) <= 1
+        table, conflicts = configuration.build_table(configuration.merge(EMPTY, found.ok))
+        assert len(conflicts) <= 1 and len(table.routes_by_host) <= 1
 
 
 @pytest.mark.parametrize(
-    ("raw", "why"),
+    ("raw", "reason"),
     [
         ([], "neither"),
         ({"other": 1}, "neither"),
@@ -245,46 +248,46 @@
         (call(limit_set={"revision": "r1", "max_body_bytes": 0}), "number"),
     ],
 )
-def test_what_is_wrong_is_refused_and_named(raw, why):
+def test_an_invalid_call_is_rejected_with_its_reason(raw, reason):
     found = read(raw)
-    assert found.is_error() and why in found.error
+    assert found.is_error() and reason in found.error
 
 
 def test_a_target_may_exceed_its_timeout_by_less_than_a_minute():
     assert read(call([rule("a", timeout="2s", target="61.9s")])).is_ok()
 
 
-def test_a_call_that_is_too_deep_is_refused():
+def test_a_call_nested_too_deeply_is_rejected():
     assert configuration.parse_change(b'{"upserts":' + b"[" * 200_000).is_error()
 
 
 # --- the table
 
 
-def test_of_two_at_one_place_the_first_by_name_stands_in_any_order():
+def test_of_routes_with_the_same_host_and_prefix_the_first_by_name_wins():
     rules = [rule("b", "/x/"), rule("a", "/x/"), rule("c", "/x/"), rule("d", "/y/")]
-    seen = []
+    tables = []
     for order in itertools.permutations(rules):
-        table, wrong = configuration.build_table(
+        table, conflicts = configuration.build_table(
             items(*(call([one]) for one in order), call(clusters=[cluster("s")]))
         )
         assert table.route("shop.test", "/x/1").name == "a"
         assert table.route("shop.test", "/y/1").name == "d"
-        assert len(wrong) == 2 and all("share" in clash.text for clash in wrong)
-        seen.append((table, wrong))
-    assert all(one == seen[0] for one in seen)
+        assert len(conflicts) == 2 and all("share" in conflict.text for conflict in conflicts)
+        tables.append((table, conflicts))
+    assert all(one == tables[0] for one in tables)
 
 
-def test_a_route_of_an_unknown_service_is_held_out_and_takes_no_place():
+def test_a_route_to_an_unknown_service_is_left_out_and_does_not_conflict():
     parts = [{"service": "s", "weight": 1}, {"service": "gone", "weight": 0}]
     raw = call([rule("a", effect=split(parts)), rule("b", "/")], [cluster("s")])
-    table, wrong = configuration.build_table(items(raw))
+    table, conflicts = configuration.build_table(items(raw))
     assert table.route("shop.test", "/").name == "b"
-    assert [clash.text for clash in wrong] == ["route a names the unknown service gone"]
-    assert wrong[0].names == {"route/a", "service/gone"}
+    assert [conflict.text for conflict in conflicts] == ["route a names the unknown service gone"]
+    assert conflicts[0].names == {"route/a", "service/gone"}
     drop = {"removals": {"service_list": [{"name": "s", "revision": "r2"}]}}
-    table, wrong = configuration.build_table(items(raw, drop))
-    assert table.route("shop.test", "/") is None and len(wrong) == 2
+    table, conflicts = configuration.build_table(items(raw, drop))
+    assert table.route("shop.test", "/") is None and len(conflicts) == 2
 
 
 @given(
@@ -292,37 +295,35 @@
     st.sampled_from(["/", "/a", "/a/", "/a/b", "/a/b/c/d", "/a/bc/", "/abc", "/ab/c", "/b/a/"]),
 )
 def test_the_longest_prefix_wins(prefixes, path):
-    table, wrong = configuration.build_table(
+    table, conflicts = configuration.build_table(
         items(call([rule(prefix, prefix) for prefix in prefixes], [cluster("s")]))
     )
     best = max((prefix for prefix in prefixes if path.startswith(prefix)), key=len)
-    assert not wrong and table.route("shop.test", path).prefix == best
+    assert not conflicts and table.route("shop.test", path).prefix == best
     assert table.route("other.test", path) is None
 
 
-def test_a_change_is_what_is_newer_and_is_judged_by_what_it_touches():
-    stands = items(call([rule("a", "/a/"), rule("old", "/o/", service="gone")], [cluster("s", "r5")]))
-    again = read(call([rule("a", "/a/")], [cluster("s", "r4")])).ok
-    assert configuration.validate_change(stands, again).ok == (), (
-        "the same item once more, and a lower version"
-    )
+def test_a_change_is_reduced_to_newer_items_and_validated_against_the_current_ones():
+    current = items(call([rule("a", "/a/"), rule("old", "/o/", service="gone")], [cluster("s", "r5")]))
+    same = read(call([rule("a", "/a/")], [cluster("s", "r4")])).ok
+    assert configuration.validate_change(current, same).ok == (), "the same item again, and a lower version"
     other = configuration.validate_change(
-        stands, read(call([rule("a", "/z/"), rule("c", "/c/")], [cluster("s", "r4")])).ok
+        current, read(call([rule("a", "/z/"), rule("c", "/c/")], [cluster("s", "r4")])).ok
     )
     assert other.error == "route/a r1 stands with another content", "one version, one content"
     dropped = configuration.validate_change(
-        stands, read({"removals": {"route_list": [{"name": "a", "revision": "r1"}]}}).ok
+        current, read({"removals": {"route_list": [{"name": "a", "revision": "r1"}]}}).ok
     )
     assert dropped.error == "route/a r1 stands with another content"
-    news = read(call([rule("a", "/b/", revision="r2")], [cluster("s")])).ok
-    assert [item.name for item in configuration.validate_change(stands, news).ok] == ["route/a"]
-    for clash, word in ((rule("b", "/a/"), "share"), (rule("b", "/b/", service="no"), "unknown")):
-        assert word in configuration.validate_change(stands, read(call([clash])).ok).error
+    changes = read(call([rule("a", "/b/", revision="r2")], [cluster("s")])).ok
+    assert [item.name for item in configuration.validate_change(current, changes).ok] == ["route/a"]
+    for conflicting, reason in ((rule("b", "/a/"), "share"), (rule("b", "/b/", service="no"), "unknown")):
+        assert reason in configuration.validate_change(current, read(call([conflicting])).ok).error
     drop = {"removals": {"service_list": [{"name": "s", "revision": "r6"}]}}
-    assert "unknown service s" in configuration.validate_change(stands, read(drop).ok).error
+    assert "unknown service s" in configuration.validate_change(current, read(drop).ok).error
 
 
-def test_limits_are_as_set_or_the_defaults():
+def test_unset_limits_have_their_defaults():
     assert configuration.build_table(EMPTY)[0] == configuration.EMPTY_TABLE
     limit = {"revision": "r1", "max_body_bytes": 5, "header_timeout": "250ms"}
     assert configuration.build_table(items({"upserts": {"limit_set": limit}}))[0].limits == Limits(
@@ -330,14 +331,14 @@
     )
 
 
-def test_all_that_stands_reads_back_as_it_was():
+def test_exported_items_parse_back_to_the_same_items():
     made = items(
         call([rule("a", "/a/", note="é\n"), rule("b", "/b/")], [cluster("s", extra={"z": 1, "a": [None]})]),
         call([rule("c", revision="r9")], [cluster("t")], host="Other.test"),
         {"upserts": {"limit_set": {"revision": "r4", "max_body_bytes": 9}}},
         {"removals": {"route_list": [{"name": "b", "revision": "r2"}]}},
     )
-    again = configuration.parse_change(b'{"upserts":' + configuration.whole(made) + b"}")
-    assert set(again.ok) == {item for item in made.values() if item.content}
-    assert "route/b" in made and len(again.ok) == 5
-    assert set(configuration.parse_change(b'{"upserts":' + configuration.whole(EMPTY) + b"}").ok) == set()
+    same = configuration.parse_change(b'{"upserts":' + configuration.to_json(made) + b"}")
+    assert set(same.ok) == {item for item in made.values() if item.content}
+    assert "route/b" in made and len(same.ok) == 5
+    assert set(configuration.parse_change(b'{"upserts":' + configuration.to_json(EMPTY) + b"}").ok) == set()
--- a/tests/mesh/test_mesh_faults.py
+++ b/tests/mesh/test_mesh_faults.py
@@ -1,5 +1,5 @@
-"""Faults at numbered points: real controllers and claimants in a world of fake time, struck at each in
-turn."""
+"""Fault injection at numbered points: real controllers and claimants on simulated time, with one fault at
+each point in turn."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 import pytest
 from mesh_world import World
-from operator_calls import InvariantViolation, change, read_back, route, service, standing
+from operator_calls import InvariantViolation, change, read_back, route, service, versions_in
 
 from mesh.control import recovery
 from mesh.control.consensus import Replica
@@ -25,13 +25,13 @@
 from mesh.transport import messages
 from mesh.transport.messages import kind_of
 
-BACK_S = 0.3  # a machine is back after so long
-NEWEST = 10_000  # a version that nothing in a play has
+BACK_S = 0.3  # until a failed machine is back
+NEWEST = 10_000  # greater than any version in a scenario
 WORKERS = min(6, os.cpu_count() or 1)
 
 
 async def until(holds: Callable[[], bool], limit_s: float = 8.0) -> bool:
-    """Wait on the operator's loop."""
+    """Waits on the operator's event loop until a condition holds; returns whether it does in time."""
     loop = asyncio.get_running_loop()
     end = loop.time() + limit_s
     while not holds():
@@ -42,15 +42,15 @@
 
 
 async def claimed(world: World, name: str, key: str) -> str:
-    """The outcome of one claim."""
+    """Claims a key and returns the outcome."""
     outcome = world.claim(name, key)
     if not await until(lambda: bool(outcome), 3.0):
-        raise InvariantViolation(f"a claim of {key} ended in nothing")
+        raise InvariantViolation(f"a claim of {key} got no outcome")
     return outcome[0]
 
 
-async def story(world: World) -> None:
-    """What the operator and the claimants do, while anything may be struck."""
+async def run_workload(world: World) -> None:
+    """Runs the operator's changes and the claims, during which the fault is injected."""
     one, two = world.sidecars
     if not await until(lambda: len(world.caught_up_controllers()) >= len(world.controllers) // 2 + 1, 4.0):
         return
@@ -65,12 +65,12 @@
     await asyncio.gather(claimed(world, two, "k1"), claimed(world, two, "k3"))
 
 
-async def aftermath(world: World) -> None:
-    """All are back: whatever was promised holds, and new things can be done."""
+async def check_recovery(world: World) -> None:
+    """Checks that after recovery all acknowledged state is there and new changes and claims succeed."""
     names = world.controllers
-    if not await until(lambda: world.caught_up_controllers() == names, 8.0 if world.acked else 3.0):
-        if world.acked or any(key.ran for key in world.keys.values()):
-            raise InvariantViolation(f"only {world.caught_up_controllers()} came to count")
+    if not await until(lambda: world.caught_up_controllers() == names, 8.0 if world.acknowledged else 3.0):
+        if world.acknowledged or any(key.ran for key in world.keys.values()):
+            raise InvariantViolation(f"only {world.caught_up_controllers()} caught up")
         return
     for name in names:
         for _ in range(20):
@@ -82,9 +82,9 @@
             raise InvariantViolation(f"{name} can't be read")
         read_back(world, body)
     for at, key in enumerate(sorted(world.keys)):
-        await claimed(world, world.sidecars[at % 2], key)  # that none runs twice is looked at in the world
+        await claimed(world, world.sidecars[at % 2], key)  # the world checks that none runs twice
     if await world.patch(len(names) - 1, change([service("crew", NEWEST)])) != 200:
-        raise InvariantViolation("no change is taken any more")
+        raise InvariantViolation("no change is accepted any more")
     for at in range(10):
         if await claimed(world, world.sidecars[0], f"new {at}") == "RUN":
             return
@@ -92,16 +92,16 @@
     raise InvariantViolation("no key is granted any more")
 
 
-def play(world: World) -> World:
-    """One whole play."""
+def run_scenario(world: World) -> World:
+    """Runs a whole scenario: workload, then recovery checks."""
     with world:
         world.start()
-        for part in (story, aftermath):
+        for part in (run_workload, check_recovery):
             task = world.operator.run(part(world))
             if not world.run(90.0, task.done):
-                raise InvariantViolation("a play has no end")
+                raise InvariantViolation("a scenario does not end")
             task.result()
-            world.story = world.story or world.points
+            world.workload_points = world.workload_points or world.points
     return world
 
 
@@ -148,7 +148,7 @@
 
 
 def both(one: Strike, two: Strike) -> Strike:
-    """Two losses at a time: the second of them at another controller."""
+    """Combines two faults, the second one at another controller."""
 
     def strike(world: World, name: str) -> None:
         other = world.random.choice([controller for controller in world.controllers if controller != name])
@@ -170,38 +170,38 @@
 )
 
 
-def struck(strike: Strike, at: int, **how: Any) -> World:
-    """A play with a fault at one of its points."""
+def run_with_fault(strike: Strike, at: int, **how: Any) -> World:
+    """Runs a scenario with a fault at one of its points."""
     world = World(**how)
     world.faults_at[at] = lambda name: strike(world, name)
-    play(world)
-    assert not world.faults_at, "nothing was struck"
+    run_scenario(world)
+    assert not world.faults_at, "the fault was not injected"
     return world
 
 
 def outcome(job: tuple[int, int, int, int]) -> str:
-    """What broke in one play: which strike, at which point, seed, size."""
+    """Runs one scenario (fault, point, seed, size) and returns the violation, or an empty string."""
     at, point, seed, size = job
     try:
         losses = 1 if at < len(STRIKES) else 2
-        struck((STRIKES + PAIRS)[at], point, seed=seed, size=size, losses=losses)
+        run_with_fault((STRIKES + PAIRS)[at], point, seed=seed, size=size, losses=losses)
     except InvariantViolation as broken:
         return str(broken)
     return ""
 
 
 def outcomes(jobs: list[tuple[int, int, int, int]]) -> dict[tuple[int, int, int, int], str]:
-    """Those plays in which something broke. Plays share nothing, so any free process takes the next."""
+    """Runs scenarios in parallel processes and returns the violations."""
     fork = multiprocessing.get_context("fork")
     with ProcessPoolExecutor(WORKERS, mp_context=fork, initializer=gc.freeze) as pool:
         found = zip(jobs, pool.map(outcome, jobs, chunksize=8), strict=True)
         return {job: broken for job, broken in found if broken}
 
 
-def test_a_play_without_a_fault_keeps_its_promises_and_is_the_same_each_time() -> None:
-    worlds = [play(World(seed=3)) for _ in range(2)]
+def test_a_scenario_without_faults_succeeds_and_is_deterministic() -> None:
+    worlds = [run_scenario(World(seed=3)) for _ in range(2)]
     assert len({(world.points, world.now) for world in worlds}) == 1
-    assert worlds[0].story > 150 and set(worlds[0].acked) == {
+    assert worlds[0].workload_points > 150 and set(worlds[0].acknowledged) == {
         "service/berths",
         "service/crew",
         "route/a",
@@ -212,23 +212,23 @@
 
 
 @pytest.mark.parametrize("strike", range(len(STRIKES)), ids=[strike.__name__ for strike in STRIKES])
-def test_whatever_strikes_at_any_point_nothing_promised_is_lost_and_no_key_runs_twice(strike: int) -> None:
-    points = play(World(seed=1)).story
+def test_a_fault_at_any_point_loses_nothing_acknowledged_and_no_key_runs_twice(strike: int) -> None:
+    points = run_scenario(World(seed=1)).workload_points
     assert outcomes([(strike, point, 1, 3) for point in range(1, points + 1)]) == {}
 
 
 @pytest.mark.parametrize(("size", "losses"), [(4, 1), (4, 2), (7, 1), (7, 2)])
-def test_more_controllers_bear_one_loss_and_two_at_any_point(size: int, losses: int) -> None:
+def test_larger_clusters_survive_one_or_two_losses_at_any_point(size: int, losses: int) -> None:
     draw = random.Random(size * losses)
     strikes = range(len(STRIKES)) if losses == 1 else range(len(STRIKES), len(STRIKES + PAIRS))
     jobs = []
     for seed in (1, 2):
-        points = play(World(seed=seed, size=size, losses=losses)).story
+        points = run_scenario(World(seed=seed, size=size, losses=losses)).workload_points
         jobs += [(draw.choice(strikes), point, seed, size) for point in draw.sample(range(1, points + 1), 20)]
     assert outcomes(jobs) == {}
 
 
-OVERLAPS = tuple(  # beyond what may be lost at once, with no more disks lost than may be
+OVERLAPS = tuple(  # more losses at once than are tolerated, but no more lost disks than are
     both(one, two)
     for one, two in (
         (power_of_one, power_of_one),
@@ -241,19 +241,19 @@
 
 
 def overlapped(job: tuple[int, int, int]) -> str:
-    """What breaks in a play with losses that overlap: which, at which point, of how many machines."""
+    """Runs one scenario with overlapping losses (faults, point, size) and returns the violation."""
     at, point, size = job
     losses = (size - 1) // 2
     try:
-        struck(THREE if size > 3 else OVERLAPS[at], point, size=size, losses=losses)
+        run_with_fault(THREE if size > 3 else OVERLAPS[at], point, size=size, losses=losses)
     except InvariantViolation as broken:
         return str(broken)
     return ""
 
 
 @pytest.mark.parametrize(("size", "at"), [(3, 0), (3, 1), (3, 2), (3, 3), (5, 0)])
-def test_losses_that_overlap_beyond_the_budget_rest_the_service_and_lose_nothing(size: int, at: int) -> None:
-    points = play(World(size=size, losses=(size - 1) // 2)).story
+def test_overlapping_losses_beyond_the_budget_interrupt_service_but_lose_nothing(size: int, at: int) -> None:
+    points = run_scenario(World(size=size, losses=(size - 1) // 2)).workload_points
     jobs = [(at, point, size) for point in range(1 + at, points + 1, 3)]
     fork = multiprocessing.get_context("fork")
     with ProcessPoolExecutor(WORKERS, mp_context=fork, initializer=gc.freeze) as pool:
@@ -261,12 +261,12 @@
     assert {job: broken for job, broken in found.items() if broken} == {}
 
 
-def test_messages_that_come_twice_or_late_break_nothing() -> None:
-    """Those of which no answer is counted: within one connection TCP rules it out, but not over two in a
-    row."""
+def test_duplicated_and_reordered_messages_break_nothing() -> None:
+    """Covers messages whose answers are not counted. TCP rules this out within one connection, but not over
+    two consecutive ones."""
     for seed in range(30):
         world = World(seed=seed)
-        world.messed = frozenset(
+        world.reordered_kinds = frozenset(
             {
                 kind_of(messages.Hello),
                 kind_of(messages.Commit),
@@ -281,10 +281,10 @@
                 kind_of(messages.FreeKey),
             }
         )
-        play(world)
+        run_scenario(world)
 
 
-def test_a_disk_that_hangs_or_refuses_for_a_while_is_waited_for_or_passed_over() -> None:
+def test_a_temporarily_hanging_or_failing_disk_loses_nothing_acknowledged() -> None:
     for seed in range(12):
         world = World(seed=seed)
         disk = world.machines[world.controllers[seed % 3]].disk
@@ -297,34 +297,36 @@
                 setattr(disk, "well", False),
                 world.after(1.0, lambda: setattr(disk, "well", True)),
             )
-        play(world)
+        run_scenario(world)
         disks = []
         for name in world.controllers:
-            held: dict[str, int] = {}  # what was told to lie there does
+            held: dict[str, int] = {}  # newest version of each item on this disk
             disk = world.machines[name].disk
             disk.written = []
             for record in disk.records():
                 if record[0] == "item":
                     held[record[1][0]] = max(record[1][1], held.get(record[1][0], 0))
             disks.append(held)
-        for name, items in world.acked.items():
+        for name, items in world.acknowledged.items():
             newest = max(item.version for item in items)
             assert sum(held.get(name, 0) >= newest for held in disks) >= 2
 
 
-# --- two writers
+# --- concurrent writers
 
 
 async def ready(world: World) -> None:
-    """All controllers count, and hear each other; services are there."""
+    """Waits until all controllers have caught up and are connected, and creates the services."""
     assert await until(lambda: world.caught_up_controllers() == world.controllers)
     await asyncio.sleep(0.5)
     assert await world.patch(0, change([service("berths", 1), service("crew", 1)])) == 200
 
 
 def race(seed: int, one: bytes, two: bytes, slow_s: float) -> tuple[World, list[int], list[dict[str, int]]]:
-    """Two changes through two controllers, about at once. Their answers, and what each controller holds in
-    the end."""
+    """Sends two changes through two controllers at about the same time.
+
+    Returns the world, both statuses, and the versions that each controller holds in the end.
+    """
     world = World(seed=seed, claimants=0)
     draw = random.Random(seed)
     answers = [0, 0]
@@ -345,7 +347,7 @@
             status, body = await world.ask(name, b"GET")
             assert status == 200
             read_back(world, body)
-            there.append(standing(body))
+            there.append(versions_in(body))
 
     with world:
         world.start()
@@ -357,7 +359,7 @@
 
 
 @pytest.mark.parametrize("slow_s", [0.004, 0.05, 0.3])
-def test_of_two_clashing_routes_written_at_once_never_both_are_acknowledged(slow_s: float) -> None:
+def test_of_two_conflicting_concurrent_routes_at_most_one_is_acknowledged(slow_s: float) -> None:
     one, two = (change((), [route(name, 1, "/p/")]) for name in "xy")
     seen = set()
     for seed in range(40):
@@ -368,20 +370,22 @@
 
 
 @pytest.mark.parametrize("slow_s", [0.004, 0.05, 0.3])
-def test_two_writers_of_one_item_leave_one_content_and_the_newest_acknowledged_version(slow_s: float) -> None:
+def test_concurrent_writes_of_one_item_leave_one_content_and_the_newest_acknowledged_version(
+    slow_s: float,
+) -> None:
     for seed in range(20):
         one = change((), [route("x", 1, "/p/", "berths")])
         two = change((), [route("x", 1 + seed % 2, "/p/", "crew")])
         world, _, there = race(seed, one, two, slow_s)
         assert there[0] == there[1] == there[2]
-        assert world.acked.get("route/x", []) == [] or "route/x" in there[0]
+        assert world.acknowledged.get("route/x", []) == [] or "route/x" in there[0]
 
 
-# --- each defence, taken out
+# --- mutations: each safeguard removed
 
 
 async def frozen_writer(world: World, answers: list[int]) -> None:
-    """A proposer stands still between the promises and its change; meanwhile another's change is chosen."""
+    """Freezes a proposer between prepare and accept phase while another's change is chosen."""
     await ready(world)
     slow, _, quick = world.controllers
     controller: Any = world.controller(slow)
@@ -419,11 +423,11 @@
     return answers
 
 
-def test_a_proposer_that_stood_still_is_refused_once_another_was_promised_something() -> None:
+def test_a_frozen_proposer_is_rejected_once_another_ballot_was_promised() -> None:
     assert frozen() == [503, 200]
 
 
-def test_found_if_a_change_is_accepted_from_anybody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_acceptance_without_a_promise(monkeypatch: pytest.MonkeyPatch) -> None:
     def accept(replica: Replica, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica:
         return replica._replace(draft=Draft(replica.sequence + 1, ballot, items))
 
@@ -432,8 +436,7 @@
 
 
 async def late_claim(world: World) -> None:
-    """One controller has granted a key and is wiped; the claimant's word reaches the others only after
-    that."""
+    """Wipes the one controller that has granted a key before the claim reaches the others."""
     one, two = world.sidecars
     await ready(world)
     await until(
@@ -460,41 +463,41 @@
     return world.keys["k"].ran
 
 
-def test_a_wiped_controller_waits_until_claims_that_it_had_granted_are_void() -> None:
+def test_a_wiped_controller_waits_until_claims_it_may_have_granted_are_void() -> None:
     assert len(claimed_late()) == 1
 
 
-def test_found_if_a_wiped_controller_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_a_wiped_controller_that_does_not_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(recovery, "CLAIM_TIMEOUT_S", 0.0)
     with pytest.raises(InvariantViolation, match="twice|by enough"):
         claimed_late()
 
 
 def found(strike: Strike, every: int = 6) -> set[str]:
-    """What breaks at some of the points."""
+    """Returns the violations found at some of the points."""
     broken = set()
     for point in range(60, 200, every):
         try:
-            struck(strike, point, seed=1)
+            run_with_fault(strike, point, seed=1)
         except InvariantViolation as error:
             broken.add(str(error))
     return broken
 
 
-def test_found_if_a_wiped_controller_counts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_a_wiped_controller_that_votes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     load = Controller._load
 
-    def whole(controller: Controller) -> bool:
+    def settled_at_once(controller: Controller) -> bool:
         fresh = load(controller)
         controller.context.member.settle(max(1, controller.voters.epoch))
         return fresh
 
-    monkeypatch.setattr(Controller, "_load", whole)
+    monkeypatch.setattr(Controller, "_load", settled_at_once)
     assert any("before it has recovered" in broken for broken in found(wipe_of_one))
 
 
 @pytest.mark.parametrize("strike", [wipe_of_one, power_of_one])
-def test_found_if_one_disk_is_enough(monkeypatch: pytest.MonkeyPatch, strike: Strike) -> None:
+def test_detects_writes_to_a_single_disk(monkeypatch: pytest.MonkeyPatch, strike: Strike) -> None:
     monkeypatch.setattr(Voters, "write", property(lambda voters: 1))
     monkeypatch.setattr(Voters, "read", property(lambda voters: len(voters.names) // 2 + 1))
     assert found(strike)
