--- a/tests/mesh/test_mesh_rounds.py
+++ b/tests/mesh/test_mesh_rounds.py
@@ -1,11 +1,11 @@
-"""Rounds with random faults at numbered points: controllers, claimants and two operators on fake time.
+"""Rounds with random faults at numbered points: controllers, claimants and two operators on simulated time.
 
     python -m rehearsal.mesh rounds --count 500
 
-Each seed is one round: a small schedule of changes and claims that collide, and of kills, losses of power and
-of disks (within the budget), freezes, cuts and refusing disks, each struck at a numbered point. Looked at:
-nothing acknowledged is lost, no key runs twice and its repeats get the first answer, no sidecar goes back to
-an older item, nothing invalid is in force, and all copies agree in the end.
+Each seed is one round: a small schedule of conflicting changes and claims, and of faults at numbered points:
+kills, losses of power and of disks (within the budget), freezes, partitions and failing disks. It is checked
+that no acknowledged change is lost, that no key runs twice and its repeats get the first answer, that no
+sidecar returns to an older item, that nothing invalid is in force, and that all copies converge.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 import pytest
 from mesh_world import World
 from operator_calls import InvariantViolation, change, route, service
-from test_mesh_faults import WORKERS, aftermath, ready, until
+from test_mesh_faults import WORKERS, check_recovery, ready, until
 
 from mesh.control import recovery
 from mesh.control.consensus import Replica
@@ -51,9 +51,9 @@
 from mesh.transport.connection import pack
 from mesh.transport.messages import kind_of
 
-SPAN = 320  # numbered points after the first start, in which faults strike
-AGREE_S = 20.0  # all copies agree by then, when nothing fails any more
-MESSED = (
+SPAN = 320  # fault points after the first start
+AGREE_S = 20.0  # copies converge within this time after the last fault
+REORDERED_KINDS = (
     kind_of(messages.Hello),
     kind_of(messages.Commit),
     kind_of(messages.Abandon),
@@ -67,11 +67,11 @@
     kind_of(messages.FreeKey),
 )
 KEYS = ("k1", "k2", "k3", "k4")
-PREFIXES = ("/p/", "/q/")  # few, so that routes clash
+PREFIXES = ("/p/", "/q/")  # few, so that routes conflict
 
 
 class Round(World):
-    """A world that also looks at what sidecars hold, and at what repeats are told."""
+    """A world that also checks what sidecars hold, and what repeated operations are answered."""
 
     def __init__(self, seed: int, trace: bool = False) -> None:
         self.draw = random.Random(f"round {seed}")
@@ -79,12 +79,12 @@
         super().__init__(seed, size, claimants=self.draw.choice((2, 3)), trace=trace)
         self.losses = (size - 1) // 2
         self.counts: Counter[str] = Counter()
-        self.answers: dict[str, bytes] = {}  # by key: what its run answered
+        self.answers: dict[str, bytes] = {}  # by key: the answer of its run
         self.versions = 1
-        self.wiped: set[str] = set()  # controllers whose disk went, and is not whole again yet
+        self.wiped: set[str] = set()  # controllers that lost their disk and have not caught up
         self.delay_s = (0.001, self.draw.choice((0.004, 0.004, 0.02, 0.05)))
         if self.draw.random() < 0.3:
-            self.messed = frozenset(self.draw.sample(MESSED, 4))
+            self.reordered_kinds = frozenset(self.draw.sample(REORDERED_KINDS, 4))
 
     def __enter__(self) -> Round:
         super().__enter__()
@@ -115,34 +115,34 @@
         def taken(control: ControlClient, items: Iterable[Item]) -> None:
             before = control.copy.items
             take(control, items)
-            self._look(control, before)
+            self._check_items(control, before)
 
         self._patch.setattr(CallRunner, "claim", claimed)
         self._patch.setattr(ControlClient, "take_items", taken)
         return self
 
-    def _look(self, control: ControlClient, before: configuration.Items) -> None:
+    def _check_items(self, control: ControlClient, before: configuration.Items) -> None:
         me, items = control._context.me, control.copy.items
         for name, item in before.items():
             if items[name].version < item.version:
-                self.errors.append(f"{me} went back from {name} r{item.version}")
+                self.errors.append(f"{me} returned to an older version than {name} r{item.version}")
         for item in items.values():
             if item not in self.sent.get(item.name, ()):
-                self.errors.append(f"{item} is in force at {me}, and nobody sent it")
+                self.errors.append(f"{item} is in force at {me}, but nobody sent it")
             if '"nowhere"' in item.content:
-                self.errors.append(f"{item.name} r{item.version} is in force at {me}, and is invalid")
+                self.errors.append(f"{item.name} r{item.version} is in force at {me}, but is invalid")
 
     # --- faults
 
     def strike(self, name: str) -> None:
-        """One fault, of a kind that is drawn, at the controller where a point was reached or anywhere."""
+        """Injects a random fault, at the controller that reached the fault point or anywhere."""
         draw = self.draw
         kind = draw.choice(FAULTS)
         self.counts[f"fault {kind.__name__}"] += 1
         kind(self, name)
 
     def lose(self, name: str, back_s: float) -> bool:
-        """Wipe a controller, if the budget has room for one more."""
+        """Wipes a controller unless that exceeds the loss budget; returns whether it was wiped."""
         self.wiped -= {one for one in self.caught_up_controllers() if self._whole_disk(one)}
         if len(self.wiped | {name}) > self.losses:
             return False
@@ -153,10 +153,10 @@
     def _whole_disk(self, name: str) -> bool:
         return any(["whole"] in unframe(batch) for batch in self.machines[name].disk.synced)
 
-    # --- what a run leaves
+    # --- outcomes of runs
 
     def answer(self, name: str, key: str, fault: ErrorKind | None) -> None:
-        """The claimant that ran a key tells what became of it."""
+        """Has the claimant that ran a key report its outcome."""
         process = self.machines[name].process
         token = self.keys[key].ran[0]
         self.answers[key] = token.encode()
@@ -226,8 +226,7 @@
 
 
 def loss_behind_a_cut(world: Round, name: str) -> None:
-    """A claimant reaches one controller alone, which then loses its disk; then others claim what it has
-    claimed."""
+    """Wipes the only controller that a claimant reaches, then has others claim the same key."""
     draw = world.draw
     others = [controller for controller in world.controllers if controller != name]
     one, *rest = draw.sample(world.sidecars, len(world.sidecars))
@@ -246,7 +245,7 @@
 
 
 def split(world: Round, name: str) -> None:
-    """Some controllers and sidecars on one side, the rest on the other."""
+    """Partitions the controllers and sidecars into two sides."""
     everyone = [*world.controllers, *world.sidecars]
     here = {name, *world.draw.sample(everyone, len(everyone) // 2)}
     for_s = world.draw.choice((0.5, 1.5, 3.5))
@@ -265,7 +264,7 @@
 
 
 def answer_of_long_ago(world: Round, name: str) -> None:
-    """An answer from a window long gone comes to a controller that has this window's."""
+    """Delivers a stale answer to a controller that already holds the current one."""
     role = world.controller(name)
     process = world.machines[name].process
     for key in KEYS if role is not None and process is not None else ():
@@ -296,7 +295,7 @@
 )
 
 
-# --- who does what
+# --- workload
 
 
 def _drop_service(name: str, version: int) -> bytes:
@@ -304,9 +303,9 @@
 
 
 def _made(world: Round) -> tuple[bytes, bool]:
-    """A change of an operator, and whether it can be valid at all."""
+    """Returns a random change, and whether it can be valid at all."""
     draw = world.draw
-    if draw.random() < 0.85:  # else at the other operator's version
+    if draw.random() < 0.85:  # otherwise the same version as the other operator's
         world.versions += 1
     version, name = world.versions, draw.choice("xyz")
     what = draw.random()
@@ -323,7 +322,7 @@
 
 
 def overtaken(world: Round, body: bytes) -> bool:
-    """Whether what stands somewhere is as new as all of a change: it has no effect then, and gets 200."""
+    """Whether all items of a change are outdated somewhere: it then has no effect and gets 200."""
     held = [
         controller.items for name in world.controllers if (controller := world.controller(name)) is not None
     ]
@@ -334,19 +333,19 @@
 
 
 async def operate(world: Round) -> None:
-    """One operator: changes one after the other, each sent on until it is answered."""
+    """Runs one operator, which sends changes one after the other until each is answered."""
     draw = world.draw
     for _ in range(draw.randint(3, 6)):
         body, proper = _made(world)
         status = await world.patch(draw.randrange(len(world.controllers)), body, tries=draw.randint(1, 5))
         world.counts[f"changes {status}"] += 1
         if status == 200 and not proper and not overtaken(world, body):
-            raise InvariantViolation(f"invalid, and acknowledged: {body.decode()}")
+            raise InvariantViolation(f"invalid, but acknowledged: {body.decode()}")
         await asyncio.sleep(draw.choice((0.0, 0.0, 0.1, 0.3)))
 
 
 async def use(world: Round, name: str) -> None:
-    """One claimant: keys that others claim as well."""
+    """Runs one claimant, which claims keys that others claim as well."""
     draw = world.draw
     for _ in range(draw.randint(4, 8)):
         key = draw.choice(KEYS)
@@ -355,7 +354,7 @@
         if process.alive and process.role is not None and process.role.voters.names:
             outcome = world.claim(name, key, draw.choice((0.3, 2.0, 8.0)))
             await until(lambda outcome=outcome: bool(outcome), 2.5)  # type: ignore[misc]
-            world.counts[f"claims {outcome[0] if outcome else 'without an end'}"] += 1
+            world.counts[f"claims {outcome[0] if outcome else 'without an outcome'}"] += 1
             if outcome == ["RUN"]:
                 await asyncio.sleep(draw.choice((0.0, 0.01, 0.3)))
                 if draw.random() < 0.8 and world.machines[name].process is process and process.alive:
@@ -363,23 +362,23 @@
         await asyncio.sleep(draw.uniform(0.0, 0.3))
 
 
-async def story(world: Round) -> None:
-    """All of a round but its end."""
+async def run_workload(world: Round) -> None:
+    """Runs the workload of a round with its faults."""
     await ready(world)  # type: ignore[arg-type]
     if not await until(
         lambda: all(world.machines[name].process.role.voters.names for name in world.sidecars)
     ):
-        raise InvariantViolation("sidecars have heard of no voters")
+        raise InvariantViolation("sidecars know no voters")
     draw, base = world.draw, world.points
     for _ in range(draw.randint(1, 5)):
         world.faults_at[base + draw.randint(1, SPAN)] = world.strike
     await asyncio.gather(operate(world), operate(world), *(use(world, name) for name in world.sidecars))
     world.faults_at.clear()
-    await asyncio.sleep(4.0)  # the last fault is over, and whoever was ended is there again
+    await asyncio.sleep(4.0)  # the last fault is over, and killed processes are back
 
 
 def differ(world: Round) -> list[str]:
-    """What controllers hold differently; where they agree, what sidecars hold that they don't."""
+    """Returns differences between the controllers, or else between them and the sidecars."""
     held = {
         name: controller.items
         for name in world.controllers
@@ -403,7 +402,7 @@
         assert process is not None
         items = process.role.items
         found += [
-            f"{item} is in force at {name}, and no controller has it"
+            f"{item} is in force at {name}, but no controller has it"
             for item in items.values()
             if first.get(item.name) != item
         ]
@@ -412,8 +411,8 @@
 
 
 async def end(world: Round) -> None:
-    """Nothing fails any more: what was promised holds, and all copies come to agree."""
-    await aftermath(world)  # type: ignore[arg-type]
+    """Checks after the last fault that acknowledged state is kept and all copies converge."""
+    await check_recovery(world)  # type: ignore[arg-type]
     if not await until(lambda: not differ(world), AGREE_S):
         raise InvariantViolation(differ(world)[0])
     sidecar = world.machines[world.sidecars[0]].process
@@ -421,28 +420,28 @@
     held = sidecar.role.items
     for clash in configuration.build_table(held)[1]:
         for name in clash.names:
-            newest = max((item.version for item in world.acked.get(name, ())), default=-1)
+            newest = max((item.version for item in world.acknowledged.get(name, ())), default=-1)
             if name.startswith("route/") and newest == held[name].version and held[name].content:
                 raise InvariantViolation(
-                    f"{name} r{newest} was acknowledged, and is held out of force: {clash.text}"
+                    f"{name} r{newest} was acknowledged, but is not in force: {clash.text}"
                 )
 
 
 def play(seed: int, trace: bool = False) -> Round:
-    """One whole round; Broken where a rule did not hold."""
+    """Runs a whole round; raises InvariantViolation if an invariant does not hold."""
     world = Round(seed, trace)
     with world:
         world.start()
-        for part in (story, end):
+        for part in (run_workload, end):
             task = world.operator.run(part(world))
             if not world.run(120.0, task.done):
-                raise InvariantViolation("a round has no end")
+                raise InvariantViolation("a round does not end")
             task.result()
     return world
 
 
 def outcome(seed: int) -> tuple[str, Counter[str]]:
-    """What broke in a round, or nothing; and what went on in it."""
+    """Runs a round; returns the violation, or an empty string, and the event counts."""
     try:
         return "", play(seed).counts
     except (InvariantViolation, AssertionError) as broken:
@@ -450,7 +449,7 @@
 
 
 def outcomes(seeds: Iterable[int], workers: int = WORKERS) -> tuple[dict[int, str], Counter[str]]:
-    """Rounds in which something broke, and the counts of all others."""
+    """Returns the violations by seed, and the event counts of all other rounds."""
     fork = multiprocessing.get_context("fork")
     seeds = list(seeds)
     total: Counter[str] = Counter()
@@ -466,28 +465,28 @@
 # --- tests
 
 
-def test_forty_rounds_keep_every_promise() -> None:
+def test_forty_random_rounds_violate_no_invariant() -> None:
     broken, counts = outcomes(range(40))
     assert broken == {}
     assert counts["repeats"] > 20 and counts["changes 200"] > 100 and counts["claims RUN"] > 40
     assert len([name for name in counts if name.startswith("fault ")]) == len(set(FAULTS))
 
 
-def test_a_round_is_the_same_each_time() -> None:
+def test_a_round_is_deterministic() -> None:
     worlds = [play(7) for _ in range(2)]
     assert len({(world.points, world.now) for world in worlds}) == 1
 
 
-KEPT = (155, 219, 359)  # seeds that showed it, with voters that never changed
+KEPT = (155, 219, 359)  # seeds that showed the fault, with voters that never changed
 
 
 @pytest.mark.parametrize("seed", KEPT)
-def test_no_sidecar_goes_on_with_what_no_controller_has(seed: int) -> None:
+def test_no_sidecar_keeps_an_item_that_no_controller_holds(seed: int) -> None:
     play(seed)
 
 
-async def written_late(world: World) -> None:
-    """A change that only a controller's memory has; then all controllers lose power, and are back."""
+async def power_loss_before_write(world: World) -> None:
+    """Cuts power of all controllers while a change is only in a controller's memory."""
     await ready(world)
     status = asyncio.ensure_future(
         world.ask(world.controllers[0], b"PATCH", change((), [route("x", 1, "/p/")]))
@@ -505,7 +504,7 @@
     while not found(lambda controller: controller.agreement.replica.open_draft is not None):
         await asyncio.sleep(0.0005)
         if found(lambda controller: controller.agreement.replica.active_ballot != FIRST):
-            world.sync_s = (0.5, 0.6)  # promises lie on the disk, the change does not
+            world.sync_s = (0.5, 0.6)  # promises are on disk, the change is not
     for name in world.controllers:
         world.power_off(name, 0.3)
     world.sync_s = (0.002, 0.006)
@@ -513,31 +512,31 @@
     assert await until(lambda: world.caught_up_controllers() == world.controllers)
     await asyncio.sleep(AGREE_S)
     if "route/x" in process.role.items and not found(lambda controller: "route/x" in controller.items):
-        raise InvariantViolation("route/x is in force at a sidecar, and no controller has it")
-    assert not found(lambda controller: "route/x" in controller.items), "it was to be lost"
+        raise InvariantViolation("route/x is in force at a sidecar, but no controller has it")
+    assert not found(lambda controller: "route/x" in controller.items), "the change should have been lost"
 
 
-def test_a_change_that_no_disk_took_is_in_force_nowhere() -> None:
-    _directed(World(), written_late)
+def test_a_change_that_is_on_no_disk_is_in_force_nowhere() -> None:
+    _directed(World(), power_loss_before_write)
 
 
-async def lost_as_it_counts(world: World) -> None:
-    """A wiped controller counts again; in that moment it loses power, and another controller its disk."""
+async def power_loss_after_catch_up(world: World) -> None:
+    """Cuts power of a wiped controller at the moment it has caught up, and wipes another one."""
     await ready(world)
     first, other, last = world.controllers
     world.wipe(first, 0.01)
     controller = None
-    while controller is None or not controller.counts:
+    while controller is None or not controller.caught_up:
         await asyncio.sleep(0.001)
         controller = world.controller(first)
     world.power_off(first, 0.3)
     world.wipe(other, 0.3)
     if not await until(lambda: world.caught_up_controllers() == world.controllers):
-        raise InvariantViolation(f"only {world.caught_up_controllers()} came to count")
+        raise InvariantViolation(f"only {world.caught_up_controllers()} caught up")
 
 
-def test_a_controller_that_counts_bears_the_loss_of_another() -> None:
-    _directed(World(), lost_as_it_counts)
+def test_a_controller_that_has_caught_up_tolerates_the_loss_of_another() -> None:
+    _directed(World(), power_loss_after_catch_up)
 
 
 def _directed(world: World, part: Callable[[World], Any]) -> None:
@@ -549,17 +548,17 @@
 
 
 def one_less(patch: pytest.MonkeyPatch) -> None:
-    """A majority less one is enough."""
+    """Lowers the write quorum to one less than a majority."""
     patch.setattr(Voters, "write", property(lambda voters: len(voters.names) // 2))
 
 
 def no_wait(patch: pytest.MonkeyPatch) -> None:
-    """A wiped controller does not wait until claims that it may have granted are void."""
+    """Makes wiped controllers vote before claims that they may have granted are void."""
     patch.setattr(recovery, "CLAIM_TIMEOUT_S", 0.0)
 
 
 def second_answer(patch: pytest.MonkeyPatch) -> None:
-    """A second answer takes the first one's place."""
+    """Lets a second answer replace the first one."""
 
     def done(keys: Registry, now: float, key: str, token: str, answer: Any) -> bool:
         grant = keys.look(now, key)
@@ -571,7 +570,7 @@
 
 
 def no_promises(patch: pytest.MonkeyPatch) -> None:
-    """Whoever proposes a change has it accepted, whatever was promised and whatever came before."""
+    """Accepts any proposed change, whatever was promised or chosen before."""
 
     def accept(replica: Replica, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica:
         return replica._replace(draft=Draft(replica.sequence + 1, ballot, items))
@@ -581,7 +580,7 @@
 
 
 def by_arrival(patch: pytest.MonkeyPatch) -> None:
-    """What comes last stands."""
+    """Merges items by arrival instead of by version."""
 
     def merge(items: configuration.Items, news: Iterable[Item]) -> configuration.Items:
         return items.update({item.name: item for item in news})
@@ -594,8 +593,8 @@
     no_wait: ((442, 465, 525, 895), "twice|by enough"),
     second_answer: ((15, 18, 65, 148), "long ago"),
     no_promises: ((74, 93, 104, 109), "acknowledged"),
-    by_arrival: ((0, 4, 7, 9), "went back"),
-}  # each with seeds that are known to show it, and what they say; with it in place they are kept
+    by_arrival: ((0, 4, 7, 9), "returned to an older version"),
+}  # seeds that are known to show the removed safeguard, and the message expected
 
 
 @pytest.mark.parametrize("taken", DEFENCES, ids=[defence.__name__ for defence in DEFENCES])
@@ -605,7 +604,7 @@
     seeds, says = DEFENCES[taken]
     taken(monkeypatch)
     broken, _ = outcomes(seeds)
-    for first in range(0, 4000, 500):  # what a seed plays changes with each message more
+    for first in range(0, 4000, 500):  # any additional message changes what a seed plays
         if any(re.search(says, told) for told in broken.values()):
             break
         broken, _ = outcomes(range(first, first + 500))
@@ -613,7 +612,7 @@
 
 
 def main() -> int:
-    """Play rounds, and print what broke and what went on."""
+    """Runs rounds and prints violations and event counts."""
     parser = argparse.ArgumentParser(prog="python -m rehearsal.mesh rounds", description=__doc__)
     parser.add_argument("--count", type=int, default=500)
     parser.add_argument("--first", type=int, default=0)
