--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -21,7 +21,7 @@
 from mesh import settings
 from mesh.control.controller import Controller
 from mesh.state.quorum import Voters
-from mesh.storage.record_store import frame
+from mesh.storage.record_store import encode_batch
 from mesh.transport.connection import PeerConnection, pack
 from mesh.transport.messages import ClaimKey, KeyDone
 
@@ -46,7 +46,7 @@
         """One record."""
         self._batch.append(record)
         if len(self._batch) >= BATCH:
-            self.bytes += len(frame(self._batch))
+            self.bytes += len(encode_batch(self._batch))
             self._batch.clear()
         if done is not None:
             done(True)
@@ -74,7 +74,7 @@
     controller = Controller(settings.read(SETTINGS).ok)
     disk = Disk()
     controller.context.store = disk  # type: ignore[assignment]
-    controller.context.member.settle(1)
+    controller.context.member.mark_caught_up(1)
     controller.context.member.voters = Voters(1, (controller.context.me,))
     wire = Wire()
     link = PeerConnection(controller.hear, lambda link: None, lambda link: None, 1e6)
@@ -111,7 +111,7 @@
         key, token = f"k-{number:012x}", f"auxiliary-dewan-a-1/1900000000000/{number}"
         controller.grants.registry.claim(now, key, token, 2.5)
         kept = [200, [[b"content-type", b"application/json"], [b"x-server-seal", b"s" * 28]], bytes(answer)]
-        controller.grants.registry.done(now, key, token, kept)
+        controller.grants.registry.complete(now, key, token, kept)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return held / claims
--- a/benchmarks/mesh_times.py
+++ b/benchmarks/mesh_times.py
@@ -27,7 +27,7 @@
 from pathlib import Path
 from typing import Any
 
-from mesh.storage.record_store import unframe
+from mesh.storage.record_store import decode_batches
 from rehearsal.mesh import wire
 from rehearsal.mesh.field import Field, Machine
 from rehearsal.mesh.judge import History
@@ -337,7 +337,7 @@
     await mesh.field.start(controller)
     held = await until(controller.ready, f"{controller.name} whole again")
     await asyncio.sleep(SETTLE_S)
-    said = [json.loads(line) for line in mesh.field.log(controller) if '"whole again"' in line]
+    said = [json.loads(line) for line in mesh.field.log(controller) if '"caught up"' in line]
     told = said[-1] if said else {}
     note = f"{told.get('items')} items, {told.get('keys')} keys"
     table.add("a wiped controller, start to whole again", held - began, note)
@@ -351,7 +351,7 @@
     newest = -1
     for path in sorted(folder.glob("g*.dat")):
         with contextlib.suppress(OSError):
-            for record in unframe(path.read_bytes()):
+            for record in decode_batches(path.read_bytes()):
                 if record[0] == "item" and record[1][0] == name:
                     newest = max(newest, record[1][1])
     return newest
--- a/mesh/control/admin_api.py
+++ b/mesh/control/admin_api.py
@@ -35,7 +35,7 @@
         elif path == b"/-/config" and message.method == b"GET":
             self._context.spawn(self._get(message))
         elif path == b"/-/readiness":
-            ready = self._context.member.counts and self._heartbeats.in_contact
+            ready = self._context.member.caught_up and self._heartbeats.in_contact
             message.answer(200 if ready else 503)
         elif path == b"/-/status" and message.method == b"GET":
             message.answer(200, self._status(), JSON_HEADERS)
@@ -54,14 +54,14 @@
 
     def _status(self) -> bytes:
         """Returns the JSON of the status page: the voters and their health, as this controller sees them."""
-        context, safety = self._context, self._heartbeats.safety
+        context, safety = self._context, self._heartbeats.fault_tolerance
         return json.dumps(
             {
                 "in_contact": self._heartbeats.in_contact,
-                "counts": context.member.counts,
+                "counts": context.member.caught_up,
                 "epoch": context.voters.epoch,
                 "voters": list(context.voters.names),
-                "away": self._heartbeats.away(),
+                "away": self._heartbeats.absent_voters(),
                 "copies": safety.copies,
                 "losses": safety.losses,
                 "losses_wanted": context.settings.losses,
@@ -72,7 +72,7 @@
     async def _patch(self, message: Message) -> None:
         # A change that is invalid on an outdated copy may be valid on the current one, so nothing is
         # validated without contact with a majority.
-        if not await self._heartbeats.found(max(0.0, REQUEST_TIMEOUT_S - ROUND_TIMEOUT_S)):
+        if not await self._heartbeats.wait_for_contact(max(0.0, REQUEST_TIMEOUT_S - ROUND_TIMEOUT_S)):
             self._refuse_change(message, ErrorKind.NO_QUORUM)
             return
         change = configuration.parse_change(message.body)
--- a/mesh/control/agreement.py
+++ b/mesh/control/agreement.py
@@ -23,7 +23,7 @@
 from mesh.state.ballots import Ballot, Draft
 from mesh.state.configuration import Item
 from mesh.state.distribution import ConfigurationCopy
-from mesh.state.quorum import Turn, Voters
+from mesh.state.quorum import Voters, WriteLease
 from mesh.transport.connection import PeerConnection, pack
 from mesh.transport.messages import (
     Abandon,
@@ -73,7 +73,7 @@
         self.on_new_items: Callable[[list[Item]], None] = lambda items: None
         self.replica = Replica()
         self.copy = ConfigurationCopy()  # the items of the replica, with their digests
-        self._turn = Turn(TURN_TIMEOUT_S)
+        self._turn = WriteLease(TURN_TIMEOUT_S)
         self._highest_number = self.ballots_started = 0  # highest ballot number that another voter reported
         self._draft_since = self._loop.time()
         self._finishing = False
@@ -91,7 +91,7 @@
 
     def reset_turn(self) -> None:
         """Clears the current proposer's turn after the voters have changed."""
-        self._turn = Turn(TURN_TIMEOUT_S)
+        self._turn = WriteLease(TURN_TIMEOUT_S)
 
     def learn(self, items: Iterable[Item], sequence: int) -> None:
         """Merges the items of another copy, which contains the first `sequence` changes."""
@@ -125,11 +125,11 @@
         Returns False if the promise is refused; otherwise `done` is called when the promise is on disk.
         """
         votes = self._context.member.votes(epoch)
-        if not votes or not self._turn.take(self._loop.time(), ballot.who):
+        if not votes or not self._turn.acquire(self._loop.time(), ballot.proposer):
             return False
         promised = self.replica.prepare(ballot)
         if promised is None:
-            self._turn.over(ballot.who)
+            self._turn.release(ballot.proposer)
             return False
         self.replica = promised
         self._context.write(["promise", *ballot], done)
@@ -184,12 +184,12 @@
 
     def on_commit(self, message: Commit) -> None:
         """Handles the message that a change was chosen."""
-        self._turn.over(message.ballot.who)
+        self._turn.release(message.ballot.proposer)
         self._replace_replica(self.replica.commit(message.sequence, message.items), message.items)
 
     def on_abandon(self, message: Abandon) -> None:
         """Handles the message that a proposer has given up its ballot."""
-        self._turn.over(message.proposer)
+        self._turn.release(message.proposer)
 
     def on_fetch(self, connection: PeerConnection, request: Fetch) -> None:
         """Sends what this copy holds, and whether it answers as a voter, or a sealed voter, of the epoch."""
@@ -241,7 +241,7 @@
                 answers[name] = answer
             return yes
 
-        rounds, connections = self._context.rounds, self._peers.of(voters)
+        rounds, connections = self._context.rounds, self._peers.connections_to(voters)
         number, round_ = rounds.open(need, len(connections), ROUND_TIMEOUT_S, on_answer)
         packed = pack(Fetch(number, voters.epoch, sealed, self.copy.bucket_digests()))
         for connection in connections:
@@ -285,7 +285,7 @@
         while True:
             voters = self._context.voters
             answers = (
-                await self._fetch_answers(voters, voters.read - self._context.is_voter, False)
+                await self._fetch_answers(voters, voters.read_quorum - self._context.is_voter, False)
                 if voters.epoch
                 else None
             )
@@ -347,7 +347,7 @@
         each other, each holding the turn of one voter.
         """
         live = [name for name in self._peers.live() if name in voters.names]
-        return max(voters.write, len(live) + (self._context.me in voters.names))
+        return max(voters.write_quorum, len(live) + (self._context.me in voters.names))
 
     async def _prepare(self, voters: Voters) -> Prepared | None:
         """Runs the prepare phase under a new ballot; None if no majority promises."""
@@ -365,10 +365,10 @@
             promises[name] = Promise(answer.sequence, answer.draft)
             return True
 
-        connections = self._peers.of(voters)
+        connections = self._peers.connections_to(voters)
         own = me in voters.names
         number, round_ = rounds.open(
-            voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, on_answer
+            voters.write_quorum, self._expected_responses(voters), ROUND_TIMEOUT_S, on_answer
         )
 
         def on_own_promise(written: bool) -> None:
@@ -404,10 +404,10 @@
             return answer.yes and answer.epoch == voters.epoch
 
         me, rounds = self._context.me, self._context.rounds
-        connections = self._peers.of(voters)
+        connections = self._peers.connections_to(voters)
         own = me in voters.names
         number, round_ = rounds.open(
-            voters.write, self._expected_responses(voters), ROUND_TIMEOUT_S, on_answer
+            voters.write_quorum, self._expected_responses(voters), ROUND_TIMEOUT_S, on_answer
         )
         for connection in connections:
             promise = promises.get(connection.peer)
@@ -429,16 +429,16 @@
         if not chosen:
             self._abandon(voters, ballot)
             return False
-        self._turn.over(ballot.who)
+        self._turn.release(ballot.proposer)
         self._replace_replica(self.replica.commit(sequence, items), items)
         self._peers.send(Commit(ballot, sequence, items))
         return True
 
     def _abandon(self, voters: Voters, ballot: Ballot) -> None:
         """Gives up a ballot so that other proposers need not wait for its turn to time out."""
-        self._turn.over(ballot.who)
-        packed = pack(Abandon(ballot.who))
-        for connection in self._peers.of(voters):
+        self._turn.release(ballot.proposer)
+        packed = pack(Abandon(ballot.proposer))
+        for connection in self._peers.connections_to(voters):
             connection.send_packed(packed)
 
     async def finish_open_draft(self) -> None:
--- a/mesh/control/consensus.py
+++ b/mesh/control/consensus.py
@@ -36,7 +36,7 @@
 from typing import Any, NamedTuple
 
 from mesh.state import configuration
-from mesh.state.ballots import FIRST, Ballot, Draft, draft_of
+from mesh.state.ballots import INITIAL_BALLOT, Ballot, Draft, draft_from_row
 from mesh.state.configuration import EMPTY, Item, Items
 
 
@@ -45,9 +45,9 @@
 
     items: Items = EMPTY
     sequence: int = 0  # number of changes that the items contain
-    promised: Ballot = FIRST
+    promised: Ballot = INITIAL_BALLOT
     draft: Draft | None = None
-    active_ballot: Ballot = FIRST  # promised in this incarnation; only its change may be accepted
+    active_ballot: Ballot = INITIAL_BALLOT  # promised in this incarnation; only its change may be accepted
 
     @property
     def open_draft(self) -> Draft | None:
@@ -95,7 +95,7 @@
         for item in self.items.values():
             yield ["item", list(item)]
         yield ["sequence", self.sequence]
-        if self.promised != FIRST:
+        if self.promised != INITIAL_BALLOT:
             yield ["promise", *self.promised]
         if self.open_draft is not None:
             yield ["draft", self.open_draft.row()]
@@ -110,7 +110,7 @@
         if kind == "promise":
             return self._replace(promised=max(self.promised, Ballot(*record[1:3])))
         if kind == "draft":
-            return self.adopt(draft_of(record[1]), FIRST)
+            return self.adopt(draft_from_row(record[1]), INITIAL_BALLOT)
         return self
 
 
--- a/mesh/control/context.py
+++ b/mesh/control/context.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine, Iterable
 from typing import Any
 
-from mesh.control.ballot import Member, Patience
+from mesh.control.ballot import Member, ReplacementDelays
 from mesh.control.rounds import Rounds
 from mesh.settings import Settings
 from mesh.state.quorum import Voters
@@ -53,7 +53,7 @@
         return 2 * (self.settings.bound("catch_up", 4.0) + self.settings.bound("contact", 3.0))
 
     @property
-    def membership_delays(self) -> Patience:
+    def membership_delays(self) -> ReplacementDelays:
         """How long other controllers have to be absent, or present, before the voters change.
 
         A new machine stops counting as lost `catch_up` after its start: by then it has to have replaced its
@@ -61,7 +61,7 @@
         place for longer, as its copy is worth more than a smaller majority.
         """
         catch_up = self.settings.bound("catch_up", 4.0)
-        return Patience(catch_up / 2, self.absence_timeout_s, catch_up / 10)
+        return ReplacementDelays(catch_up / 2, self.absence_timeout_s, catch_up / 10)
 
     def wall_time(self) -> float:
         """Returns a time of day that never steps: read once at start, advanced by the monotonic clock."""
@@ -89,7 +89,7 @@
 
         A positive answer is final, so it is on disk before it is given.
         """
-        if self.member.holds(epoch):
-            self.write_membership(lambda written: respond(written and self.member.holds(epoch)))
+        if self.member.has_final_state(epoch):
+            self.write_membership(lambda written: respond(written and self.member.has_final_state(epoch)))
         else:
             respond(False)
--- a/mesh/control/controller.py
+++ b/mesh/control/controller.py
@@ -15,10 +15,10 @@
 from mesh.control.admin_api import AdminApi
 from mesh.control.agreement import Agreement
 from mesh.control.context import Context
-from mesh.control.elections import Elections
+from mesh.control.elections import Reconfiguration
 from mesh.control.heartbeats import Heartbeats
 from mesh.control.key_grants import KeyGrants
-from mesh.control.lease import HEARTBEAT_PART
+from mesh.control.lease import HEARTBEAT_FRACTION
 from mesh.control.peers import Peers
 from mesh.control.publisher import Publisher
 from mesh.control.recovery import Recovery
@@ -43,16 +43,16 @@
 
     def __init__(self, settings: Settings) -> None:
         self.context = context = Context(settings, self._records)
-        heartbeat_s = settings.bound("contact", 3.0) * HEARTBEAT_PART
+        heartbeat_s = settings.bound("contact", 3.0) * HEARTBEAT_FRACTION
         self.peers = Peers(context, self, MAX_MISSED_HEARTBEATS * heartbeat_s)
         self.agreement = Agreement(context, self.peers)
         self.heartbeats = Heartbeats(context, self.peers, self.agreement)
         self.grants = KeyGrants(context, self.heartbeats)
-        self.elections = Elections(
+        self.elections = Reconfiguration(
             context, self.peers, self.heartbeats, self.learn_voters, lambda: self.publisher.any_old
         )
         self.publisher = Publisher(
-            context, self.peers, self.agreement, self.heartbeats, self.elections.told_voters
+            context, self.peers, self.agreement, self.heartbeats, self.elections.current_voters
         )
         self.recovery = Recovery(
             context,
@@ -66,31 +66,31 @@
         self.api = AdminApi(context, self.agreement, self.heartbeats)
         self.agreement.on_new_items = self.publisher.publish
         self.heartbeats.on_contact = self.publisher.on_contact
-        self.heartbeats.on_renewed = self.grants.retry
+        self.heartbeats.on_renewed = self.grants.retry_pending
         self._handlers = self._handlers_by_type()
 
     def _handlers_by_type(self) -> dict[type[Message], Handler]:
         """Returns the handler of each message type. Answers go to their round instead."""
         agreement, grants, elections = self.agreement, self.grants, self.elections
         return {
-            messages.ClaimKey: grants.claim,
-            messages.KeyDone: lambda link, message: grants.done(message),
-            messages.FreeKey: lambda link, message: grants.free(message),
-            messages.KeyBroken: lambda link, message: grants.broke(message),
+            messages.ClaimKey: grants.on_claim,
+            messages.KeyDone: lambda link, message: grants.on_done(message),
+            messages.FreeKey: lambda link, message: grants.on_free(message),
+            messages.KeyBroken: lambda link, message: grants.on_broken(message),
             messages.Prepare: agreement.on_prepare,
             messages.Accept: agreement.on_accept,
             messages.Commit: lambda link, message: agreement.on_commit(message),
             messages.Abandon: lambda link, message: agreement.on_abandon(message),
             messages.Fetch: agreement.on_fetch,
-            messages.FetchGrants: self.recovery.answer_grants,
-            messages.Hello: self.peers.hear_hello,
-            messages.Forgotten: lambda link, message: self.peers.live_on(message.incarnation),
-            messages.Bid: elections.answer,
-            messages.Seal: elections.answer,
-            messages.AskView: elections.answer_view,
-            messages.Successor: lambda link, message: elections.hear_successor(message),
-            messages.Heartbeat: self.heartbeats.answer,
-            messages.HeartbeatAnswer: self.heartbeats.hear,
+            messages.FetchGrants: self.recovery.on_fetch_grants,
+            messages.Hello: self.peers.on_hello,
+            messages.Forgotten: lambda link, message: self.peers.renew_incarnation(message.incarnation),
+            messages.Bid: elections.on_proposal,
+            messages.Seal: elections.on_proposal,
+            messages.AskView: elections.on_view_request,
+            messages.Successor: lambda link, message: elections.on_successor(message),
+            messages.Heartbeat: self.heartbeats.on_heartbeat,
+            messages.HeartbeatAnswer: self.heartbeats.on_response,
             messages.Register: self.publisher.on_register,
             messages.Follow: self.publisher.on_follow,
             messages.Pull: self.publisher.on_pull,
@@ -118,7 +118,7 @@
     @property
     def caught_up(self) -> bool:
         """Whether this disk holds everything that the current epoch requires."""
-        return self.context.member.counts
+        return self.context.member.caught_up
 
     @property
     def in_contact(self) -> bool:
@@ -156,9 +156,9 @@
         )
         assert settings.control is not None
         self._http_server = await http_server.open_http_server(settings.control, self.api.serve)
-        for address in [*settings.seed_peers, *self.voters.names, *self.context.member.before]:
-            self.peers.know(address)
-        self.context.spawn(self.recovery.begin(disk_empty))
+        for address in [*settings.seed_peers, *self.voters.names, *self.context.member.previous_voters]:
+            self.peers.add(address)
+        self.context.spawn(self.recovery.run(disk_empty))
         self.context.spawn(self.heartbeats.run())
         self.context.spawn(self._check_periodically())
         keys = len(self.grants.registry)
@@ -181,19 +181,19 @@
                 self.grants.load(record)
         self.agreement.finish_loading()
         if self.settings.first_start:
-            self.context.member.settle(1)
+            self.context.member.mark_caught_up(1)
         return not records
 
     def resettle(self, settings: Settings) -> None:
         """Applies the settings that can change at run time: seeds and bounds. Others need a restart."""
         self.context.settings = settings
         for seed in settings.seed_peers:
-            self.peers.know(seed)
+            self.peers.add(seed)
 
     async def stop(self) -> None:
         """Hands over this controller's duties, answers open requests, and closes its listener."""
         self.context.stopping = True
-        self.elections.name_successor()
+        self.elections.announce_successor()
         grace_s = self.settings.bound("grace", 6.0)
         await self.elections.hand_over(grace_s - DRAIN_S - MIN_KILL_MARGIN_S)
         self._http_server.listener.last_requests()
@@ -204,8 +204,8 @@
         """Checks at jittered intervals for silent peers, due reconfigurations and open drafts."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S * (0.75 + random.random() / 2))
-            self.peers.forget_silent()
-            self.elections.consider()
+            self.peers.remove_silent()
+            self.elections.check()
             if self.in_contact and self.context.is_voter:
                 await self.agreement.finish_open_draft()
 
@@ -224,7 +224,7 @@
         """Tells the sidecars that the set of known controllers has changed."""
         self.publisher.send(self.peers.controllers())
 
-    def may_count(self, links: Iterable[PeerConnection]) -> None:
+    def check_peers(self, links: Iterable[PeerConnection]) -> None:
         """Sends a heartbeat to peers that may have caught up."""
         self.heartbeats.send(links)
 
@@ -233,7 +233,7 @@
         context = self.context
         if not context.member.learn(told, before):
             return
-        self.elections.learned()
+        self.elections.on_voters_changed()
         self.heartbeats.lease.clear()
         self.agreement.reset_turn()
         logger.info("voters", epoch=told.epoch, names=list(told.names))
@@ -244,17 +244,17 @@
             )
         context.write_membership()
         for name in told.names:
-            self.peers.know_voter(name)
+            self.peers.add_voter(name)
         self.peers.send_hello()
-        self.publisher.send(self.elections.told_voters())
-        self.heartbeats.send(self.peers.linked.values())
-        self.grants.retry()
+        self.publisher.send(self.elections.current_voters())
+        self.heartbeats.send(self.peers.connections.values())
+        self.grants.retry_pending()
         if not self.caught_up:
-            context.spawn(self.recovery.settle())
+            context.spawn(self.recovery.catch_up())
 
     def _on_caught_up(self) -> None:
         """Announces that this controller has caught up and may answer as a voter."""
         self.peers.send_hello()
-        self.heartbeats.send(self.peers.linked.values())
-        self.heartbeats.look()
-        self.grants.retry()
+        self.heartbeats.send(self.peers.connections.values())
+        self.heartbeats.check()
+        self.grants.retry_pending()
--- a/mesh/control/publisher.py
+++ b/mesh/control/publisher.py
@@ -112,7 +112,7 @@
 
     def _send_initial_state(self, connection: PeerConnection, version: int) -> None:
         """Sends a newly connected sidecar what it needs to know first."""
-        connection.send(InContact(self._heartbeats.told))
+        connection.send(InContact(self._heartbeats.reported_contact))
         connection.send(self._peers.controllers())
         if self._context.voters.epoch:
             connection.send(self._current_voters())
@@ -123,7 +123,7 @@
             self._followers.add(connection)
             connection.send_packed(self._pack_table())
             connection.send(self._endpoints())
-        elif self._heartbeats.told:
+        elif self._heartbeats.reported_contact:
             connection.send(Digest(self._agreement.copy.digest))
 
     def _endpoints(self) -> Endpoints:
@@ -184,7 +184,7 @@
 
         Nothing is sent without contact with a majority; all sidecars get the digest when contact is regained.
         """
-        if not self._heartbeats.told:
+        if not self._heartbeats.reported_contact:
             return
         self._number += 1
         packed, digest = self._pack_items(items), pack(Digest(self._agreement.copy.digest))
@@ -235,7 +235,7 @@
         """Returns whether this controller may serve its items; if not, tells the sidecar so."""
         if self._heartbeats.in_contact:
             return True
-        self._heartbeats.lose()
+        self._heartbeats.report_lost()
         connection.send(InContact(False))
         return False
 
--- a/mesh/planner.py
+++ b/mesh/planner.py
@@ -15,7 +15,7 @@
 
 from expression import Error, Ok, Result
 
-from mesh.control.ballot import first_voters
+from mesh.control.ballot import initial_voters
 from mesh.state.quorum import majority
 
 LARGEST_MEASURED = 300  # machines
@@ -137,7 +137,7 @@
 def plan(fleet: Fleet) -> Plan:
     """The plan of a fleet."""
     zones = {f"{at:06d}": str(at % fleet.zones) for at in range(fleet.controllers)}
-    voters = first_voters(zones, fleet.machine_loss)
+    voters = initial_voters(zones, fleet.machine_loss)
     write = majority(len(voters))
     in_zone = max(sum(zones[name] == zone for name in voters) for zone in set(zones.values()))
     return Plan(
--- a/mesh/proxy/call_runner.py
+++ b/mesh/proxy/call_runner.py
@@ -15,7 +15,7 @@
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.key_claims import KeyClaims
 from mesh.proxy.server_queue import Job, ServerQueue
-from mesh.state.idempotency import Verdict
+from mesh.state.idempotency import ClaimDecision
 from mesh.transport.connection import PeerConnection
 from mesh.transport.messages import Call, Cancel, Forward, ForwardAnswer, LoadQuery, LoadReport, Overdue
 
@@ -25,7 +25,7 @@
 MAX_WAIT_TARGET_FACTOR = 1.5  # multiple of its target latency that a call may wait in the queue
 MAX_WAIT_FRACTION = 0.3  # fraction of its remaining time that a call may wait in the queue of one server
 RETRY_WAIT_FRACTION = 0.5  # fraction of the usual wait that a retried request gets, so that it goes first
-ERROR_OF = {Verdict.AT_WORK: ErrorKind.AT_WORK, Verdict.LOST: ErrorKind.LOST_KEY}
+ERROR_OF = {ClaimDecision.AT_WORK: ErrorKind.AT_WORK, ClaimDecision.LOST: ErrorKind.LOST_KEY}
 MAY_HAVE_RUN_STATUSES = frozenset({408, 421, 429, 503})  # unless the answer has X-Not-Run
 
 OnAnswer = Callable[[ForwardAnswer], None]
@@ -207,12 +207,12 @@
         can try, and for a while further calls with keys are rejected at once.
         """
 
-        def on_decision(verdict: Verdict, answer: Any) -> None:
-            if verdict == Verdict.RUN:
+        def on_decision(verdict: ClaimDecision, answer: Any) -> None:
+            if verdict == ClaimDecision.RUN:
                 self._queue.submit(job)
                 return
             self._context.open_calls -= 1
-            if verdict == Verdict.REPEAT:
+            if verdict == ClaimDecision.REPEAT:
                 status, headers, body = answer
                 pairs = [(bytes(name), bytes(value)) for name, value in headers]
                 on_answer(ForwardAnswer(number, 0, False, status, pairs, body))
--- a/mesh/proxy/control_client.py
+++ b/mesh/proxy/control_client.py
@@ -141,7 +141,7 @@
 
     def take_voters(self, voters: Voters) -> None:
         """Claim keys of these voters from now on, if they are news."""
-        if not voters.newer(self.key_claims.voters):
+        if not voters.supersedes(self.key_claims.voters):
             return
         for name in voters.names:
             self._know(name)
--- a/mesh/proxy/key_claims.py
+++ b/mesh/proxy/key_claims.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from mesh.state.idempotency import Claim, Mark, Verdict
-from mesh.state.quorum import NOBODY, Voters
+from mesh.state.idempotency import Claim, ClaimDecision, OperationStatus
+from mesh.state.quorum import NO_VOTERS, Voters
 from mesh.transport.connection import PeerConnection, pack
 from mesh.transport.messages import ClaimAnswer, ClaimKey, FreeKey, KeyBroken, KeyDone, Message
 
@@ -20,7 +20,7 @@
 PAUSE_S = 0.25  # during which no claim is tried after one has timed out
 GRANT_MARGIN_S = 0.5  # by which a grant outlasts the deadline of its call
 
-OnDecision = Callable[[Verdict, Any], None]
+OnDecision = Callable[[ClaimDecision, Any], None]
 """Called once with the verdict of a claim, and with the answer if the operation has already run."""
 
 
@@ -57,15 +57,17 @@
         self._number = claims.next_number()
         claims.pending[self._number] = self
         voters = claims.voters
-        self._claim = Claim(len(voters.names), voters.write, loop.time(), ROUND_TIMEOUT_S)
+        self._claim = Claim(len(voters.names), voters.write_quorum, loop.time(), ROUND_TIMEOUT_S)
         remaining_s = self._deadline - loop.time() + GRANT_MARGIN_S
         self._packed = pack(ClaimKey(self._number, self._key, self._token, remaining_s, max(1, voters.epoch)))
         self._ordered_voters = claims.nearest_first()
         self._queried = []
         for name in self._ordered_voters:
             if name not in claims.connections:
-                self._claim.failed(name)
-        self._query([name for name in self._ordered_voters if name in claims.connections][: voters.write])
+                self._claim.on_unavailable(name)
+        self._query(
+            [name for name in self._ordered_voters if name in claims.connections][: voters.write_quorum]
+        )
         self._check_verdict()
 
     def _query(self, names: list[str]) -> None:
@@ -77,7 +79,7 @@
                 self.all_queried.append(name)
             connection = self._claims.connections.get(name)
             if connection is None:
-                self._claim.failed(name)
+                self._claim.on_unavailable(name)
             else:
                 connection.send_packed(self._packed)
 
@@ -91,39 +93,39 @@
         if self._number not in self._claims.pending:
             return
         for name in self._claims.voters.names:
-            self._claim.silent(name)
+            self._claim.on_timeout(name)
         self._claims.pause()
         self._check_verdict()
 
     def on_claim_answer(self, name: str, answer: ClaimAnswer) -> None:
         """Handles the answer of a controller."""
         if answer.outcome > 0:
-            self._claim.granted(name)
+            self._claim.on_granted(name)
         elif answer.outcome == 0:
-            self._claim.held(name, answer.token, Mark(answer.status), answer.answer)
+            self._claim.on_held_by_other(name, answer.token, OperationStatus(answer.status), answer.answer)
         else:
-            self._claim.failed(name)
+            self._claim.on_unavailable(name)
         self._check_verdict()
 
     def on_connection_lost(self, name: str) -> None:
         """Handles the loss of the connection to a controller."""
-        self._claim.failed(name)
+        self._claim.on_unavailable(name)
         self._check_verdict()
 
     def _check_verdict(self) -> None:
         """Ends the claim if there is a verdict; queries the remaining controllers if some can't grant."""
         if self._number not in self._claims.pending:
             return
-        if self._claim.troubled and len(self._queried) < len(self._ordered_voters):
+        if self._claim.has_refusal and len(self._queried) < len(self._ordered_voters):
             self._query(self._ordered_voters)
-        verdict = self._claim.verdict(self._claims.loop.time())
-        if verdict == Verdict.WAIT:
+        verdict = self._claim.decision(self._claims.loop.time())
+        if verdict == ClaimDecision.WAIT:
             return
         del self._claims.pending[self._number]
         for timer in self._timers:
             timer.cancel()
         self._claims.on_verdict(self._key, self._token, self.all_queried, verdict)
-        self._on_decision(verdict, self._claim.answer)
+        self._on_decision(verdict, self._claim.response)
 
 
 class KeyClaims:
@@ -145,7 +147,7 @@
             zone,
             next_number,
         )
-        self.voters: Voters = NOBODY
+        self.voters: Voters = NO_VOTERS
         self.pending: dict[int, ClaimAttempt] = {}
         self._queried: dict[str, list[str]] = {}  # by token of a running operation: the controllers queried
         self.timed_out = 0  # number of claims
@@ -173,16 +175,16 @@
             min(timeout_s, max(MIN_TIMEOUT_S, remaining_s))
         )
 
-    def on_verdict(self, key: str, token: str, queried: list[str], verdict: Verdict) -> None:
+    def on_verdict(self, key: str, token: str, queried: list[str], verdict: ClaimDecision) -> None:
         """Handles the verdict of a claim; grants that will not be used are released."""
         self._queried[token] = queried
-        if verdict != Verdict.RUN:
+        if verdict != ClaimDecision.RUN:
             self._send_to_queried(token, FreeKey(key, token))
 
     def update_voters(self, voters: Voters) -> bool:
         """Replaces the voters and restarts all pending claims, if the voters are newer; returns whether they
         are."""
-        if not voters.newer(self.voters):
+        if not voters.supersedes(self.voters):
             return False
         self.voters = voters
         for queried in self._queried.values():  # the old voters may have told the new ones of the token
--- a/tests/mesh/fake_machines.py
+++ b/tests/mesh/fake_machines.py
@@ -16,7 +16,7 @@
 import cbor2
 
 from hollyport.http.message import Message
-from mesh.storage.record_store import frame, unframe
+from mesh.storage.record_store import decode_batches, encode_batch
 from mesh.transport import messages
 from mesh.transport.messages import kind_of
 
@@ -271,12 +271,12 @@
     def __init__(self) -> None:
         self.synced: list[bytes] = []
         self.written: list[bytes] = []
-        self.well = True
+        self.healthy = True
         self.stalled_until = 0.0
         self.slow = 1.0  # multiple of the usual duration of a sync
 
     def records(self) -> list[Any]:
-        return [record for batch in self.synced + self.written for record in unframe(batch)]
+        return [record for batch in self.synced + self.written for record in decode_batches(batch)]
 
 
 class Machine:
@@ -301,7 +301,7 @@
         self._state = state
         self._waiting: list[Any] = []
         self._busy = self._due = self._begun = False
-        self.well = True
+        self.healthy = True
 
     def load(self) -> list[Any]:
         self._disk.synced += self._disk.written
@@ -321,9 +321,9 @@
         self._busy = True
         batch, self._waiting = self._waiting, []
         fresh = not self._begun
-        data = [frame(list(self._state()))] if fresh else []
-        data.append(frame([record for record, _ in batch]))
-        if self._disk.well:
+        data = [encode_batch(list(self._state()))] if fresh else []
+        data.append(encode_batch([record for record, _ in batch]))
+        if self._disk.healthy:
             self._disk.written = data
         wait = max(0.0, self._disk.stalled_until - self._world.now)
         sync_s = self._world.sync_delay() * self._disk.slow
@@ -332,10 +332,10 @@
     def _synced(self, batch: list[Any], data: list[bytes], fresh: bool) -> None:
         if not self._process.alive:
             return
-        if self._disk.well:
+        if self._disk.healthy:
             self._disk.synced = data if fresh else self._disk.synced + data
         self._disk.written = []
-        self._begun = self.well = self._disk.well
+        self._begun = self.healthy = self._disk.healthy
         self._world.point(self._process, self._process)
         self._process.soon(lambda: self._tell(batch))
 
@@ -343,7 +343,7 @@
         self._busy = False
         for _, done in batch:
             if done is not None:
-                done(self.well)
+                done(self.healthy)
         self._begin()
 
 
--- a/tests/mesh/mesh_world.py
+++ b/tests/mesh/mesh_world.py
@@ -386,14 +386,14 @@
                 counted = key.counted.setdefault((message[3], voters.epoch), set())
                 counted.add(process.host)
                 for ran in key.ran:
-                    if ran != message[3] and len(counted) >= voters.write:
+                    if ran != message[3] and len(counted) >= voters.write_quorum:
                         self.errors.append(f"a key that {ran} ran was granted to {message[3]} by enough")
         yes = message[2] >= 0 if kind == kind_of(messages.ClaimAnswer) else message[2]
         if yes and process.wiped:
             # It must have heard the read quorum of the epoch in which it caught up, or of an earlier one.
-            until = max(1, process.role.context.member.whole)
+            until = max(1, process.role.context.member.caught_up_epoch)
             need = min(
-                (Voters(*told).read for told in self.voter_sets.items() if told[0] <= until), default=1
+                (Voters(*told).read_quorum for told in self.voter_sets.items() if told[0] <= until), default=1
             )
             few = [messages.KINDS[kind].__name__ for kind, by in process.heard.items() if len(by) < need]
             if few or not process.role.voters.epoch:
--- a/tests/mesh/test_mesh_api.py
+++ b/tests/mesh/test_mesh_api.py
@@ -60,17 +60,17 @@
     """A record store that writes each record at once, or fails."""
 
     def __init__(self, well: bool = True) -> None:
-        self.well = well
+        self.healthy = well
 
     def put(self, record: Any, done: Callable[[bool], None] | None = None) -> None:
         if done is not None:
-            done(self.well)
+            done(self.healthy)
 
 
 def make_controller(voters: tuple[str, ...] = (ME,), well: bool = True) -> Controller:
     made = Controller(settings.read(SETTINGS).ok)
     made.context.store = Disk(well)  # type: ignore[assignment]
-    made.context.member.settle(1)
+    made.context.member.mark_caught_up(1)
     if voters:
         made.context.member.voters = Voters(1, voters)
     return made
--- a/tests/mesh/test_mesh_catch_up.py
+++ b/tests/mesh/test_mesh_catch_up.py
@@ -128,7 +128,7 @@
     now = role.context.wall_time()
     for number in range(count):
         role.grants.registry.claim(now, f"k{number}", f"t{number}", 30.0)
-        role.grants.registry.done(now, f"k{number}", f"t{number}", [200, [], BODY])
+        role.grants.registry.complete(now, f"k{number}", f"t{number}", [200, [], BODY])
 
 
 def record_part_sizes(world: World) -> list[int]:
@@ -161,7 +161,7 @@
     if len(role.grants.registry) != MANY:
         raise InvariantViolation(f"{len(role.grants.registry)} of {MANY} grants came back")
     assert len(sizes) > 10 and max(sizes) < 1.5 * PART_BYTES
-    assert role.grants.registry.look(role.context.wall_time(), "k7").answer == [200, [], BODY]  # type: ignore[union-attr]
+    assert role.grants.registry.get(role.context.wall_time(), "k7").response == [200, [], BODY]  # type: ignore[union-attr]
 
 
 def test_a_wiped_controller_fetches_grants_in_parts() -> None:
--- a/tests/mesh/test_mesh_faults.py
+++ b/tests/mesh/test_mesh_faults.py
@@ -294,8 +294,8 @@
             )
         else:
             world.faults_at[90 + seed] = lambda name, disk=disk, world=world: (
-                setattr(disk, "well", False),
-                world.after(1.0, lambda: setattr(disk, "well", True)),
+                setattr(disk, "healthy", False),
+                world.after(1.0, lambda: setattr(disk, "healthy", True)),
             )
         run_scenario(world)
         disks = []
@@ -489,7 +489,7 @@
 
     def settled_at_once(controller: Controller) -> bool:
         fresh = load(controller)
-        controller.context.member.settle(max(1, controller.voters.epoch))
+        controller.context.member.mark_caught_up(max(1, controller.voters.epoch))
         return fresh
 
     monkeypatch.setattr(Controller, "_load", settled_at_once)
@@ -498,6 +498,6 @@
 
 @pytest.mark.parametrize("strike", [wipe_of_one, power_of_one])
 def test_detects_writes_to_a_single_disk(monkeypatch: pytest.MonkeyPatch, strike: Strike) -> None:
-    monkeypatch.setattr(Voters, "write", property(lambda voters: 1))
-    monkeypatch.setattr(Voters, "read", property(lambda voters: len(voters.names) // 2 + 1))
+    monkeypatch.setattr(Voters, "write_quorum", property(lambda voters: 1))
+    monkeypatch.setattr(Voters, "read_quorum", property(lambda voters: len(voters.names) // 2 + 1))
     assert found(strike)
--- a/tests/mesh/test_mesh_rounds.py
+++ b/tests/mesh/test_mesh_rounds.py
@@ -42,11 +42,11 @@
 from mesh.proxy.call_runner import CallRunner
 from mesh.proxy.control_client import ControlClient
 from mesh.state import configuration
-from mesh.state.ballots import FIRST, Ballot, Draft
+from mesh.state.ballots import INITIAL_BALLOT, Ballot, Draft
 from mesh.state.configuration import Item
-from mesh.state.idempotency import Grant, Mark, Registry
-from mesh.state.quorum import Turn, Voters
-from mesh.storage.record_store import unframe
+from mesh.state.idempotency import Grant, OperationStatus, Registry
+from mesh.state.quorum import Voters, WriteLease
+from mesh.storage.record_store import decode_batches
 from mesh.transport import messages
 from mesh.transport.connection import pack
 from mesh.transport.messages import kind_of
@@ -151,7 +151,7 @@
         return True
 
     def _whole_disk(self, name: str) -> bool:
-        return any(["whole"] in unframe(batch) for batch in self.machines[name].disk.synced)
+        return any(["whole"] in decode_batches(batch) for batch in self.machines[name].disk.synced)
 
     # --- outcomes of runs
 
@@ -255,8 +255,8 @@
 
 def refusing_disk(world: Round, name: str) -> None:
     disk = world.machines[name].disk
-    disk.well = False
-    world.after(world.draw.uniform(0.1, 1.5), lambda: setattr(disk, "well", True))
+    disk.healthy = False
+    world.after(world.draw.uniform(0.1, 1.5), lambda: setattr(disk, "healthy", True))
 
 
 def hanging_disk(world: Round, name: str) -> None:
@@ -269,7 +269,7 @@
     process = world.machines[name].process
     for key in KEYS if role is not None and process is not None else ():
         grant = role.grants.registry._grants.get(key)
-        if grant is not None and grant.mark == Mark.DONE:
+        if grant is not None and grant.status == OperationStatus.DONE:
             for end in list(process.ends)[:1]:
                 end.take(pack(messages.KeyDone(key, "long ago", [200, [], b"of long ago"])))
 
@@ -503,7 +503,7 @@
 
     while not found(lambda controller: controller.agreement.replica.open_draft is not None):
         await asyncio.sleep(0.0005)
-        if found(lambda controller: controller.agreement.replica.active_ballot != FIRST):
+        if found(lambda controller: controller.agreement.replica.active_ballot != INITIAL_BALLOT):
             world.sync_s = (0.5, 0.6)  # promises are on disk, the change is not
     for name in world.controllers:
         world.power_off(name, 0.3)
@@ -549,7 +549,7 @@
 
 def one_less(patch: pytest.MonkeyPatch) -> None:
     """Lowers the write quorum to one less than a majority."""
-    patch.setattr(Voters, "write", property(lambda voters: len(voters.names) // 2))
+    patch.setattr(Voters, "write_quorum", property(lambda voters: len(voters.names) // 2))
 
 
 def no_wait(patch: pytest.MonkeyPatch) -> None:
@@ -561,12 +561,12 @@
     """Lets a second answer replace the first one."""
 
     def done(keys: Registry, now: float, key: str, token: str, answer: Any) -> bool:
-        grant = keys.look(now, key)
+        grant = keys.get(now, key)
         expires = grant.expires if grant is not None else now + keys._window
-        keys._grants[key] = Grant(token, Mark.DONE, now, expires, answer)
+        keys._grants[key] = Grant(token, OperationStatus.DONE, now, expires, answer)
         return True
 
-    patch.setattr(Registry, "done", done)
+    patch.setattr(Registry, "complete", done)
 
 
 def no_promises(patch: pytest.MonkeyPatch) -> None:
@@ -575,7 +575,7 @@
     def accept(replica: Replica, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica:
         return replica._replace(draft=Draft(replica.sequence + 1, ballot, items))
 
-    patch.setattr(Turn, "take", lambda turn, now, token: True)
+    patch.setattr(WriteLease, "acquire", lambda turn, now, token: True)
     patch.setattr(Replica, "accept", accept)
 
 
--- a/verify/claims.py
+++ b/verify/claims.py
@@ -24,7 +24,7 @@
 from functools import cache
 from typing import Any
 
-from mesh.state.idempotency import Grant, GrantRow, Mark, Registry, Verdict, row_of
+from mesh.state.idempotency import ClaimDecision, Grant, GrantRow, OperationStatus, Registry, grant_to_row
 from verify.parts import CLAIM_S, TICK_S, Parts
 from verify.search import Model, Property, State, put
 
@@ -89,22 +89,22 @@
         """What a controller's registry holds of the key after one event, and whether it says it is news."""
         made: Registry = self.parts.registry(LONG)
         if grant:
-            made.take(0.0, [self._row(grant)])
+            made.merge(0.0, [self._row(grant)])
         news = 1
         if what == "claim":
             stands, fresh = made.claim(0.0, "k", str(token), TIME)
             news = int(fresh)
         elif what == "done":
-            news = int(made.done(0.0, "k", str(token), token))
+            news = int(made.complete(0.0, "k", str(token), token))
         elif what == "broke":
-            news = int(made.broke(0.0, "k", str(token)))
+            news = int(made.mark_broken(0.0, "k", str(token)))
         elif what == "free":
-            news = int(made.free(0.0, "k", str(token)))
+            news = int(made.release(0.0, "k", str(token)))
         elif what == "take":
             if other:
-                made.take(0.0, [self._row(other)])
+                made.merge(0.0, [self._row(other)])
         elif what == "late":
-            made.look(TIME + 1.0, "k")
+            made.get(TIME + 1.0, "k")
         rows = made.rows(0.0)
         if not rows:
             return NONE, news
@@ -114,26 +114,30 @@
     @staticmethod
     def _row(grant: State) -> GrantRow:
         token, mark, answer = grant
-        until = TIME if mark == Mark.CLAIMED else 0.0
+        until = TIME if mark == OperationStatus.CLAIMED else 0.0
         name = "" if token == NOBODY else str(token)
-        return row_of(0.0, "k", Grant(name, Mark(mark), until, LONG, None if answer == NOBODY else answer))
+        return grant_to_row(
+            0.0, "k", Grant(name, OperationStatus(mark), until, LONG, None if answer == NOBODY else answer)
+        )
 
-    def _count(self, heard: tuple[State, ...], ticks: int, silent: bool) -> tuple[Verdict, int, bool]:
+    def _count(self, heard: tuple[State, ...], ticks: int, silent: bool) -> tuple[ClaimDecision, int, bool]:
         """A claimant's verdict, the answer that it repeats, and whether others may have to be asked."""
-        made = self.parts.claim(self.controllers, self.voters.write, 0.0, CLAIM_S)
+        made = self.parts.claim(self.controllers, self.voters.write_quorum, 0.0, CLAIM_S)
         for at, told in enumerate(heard):
             if told and told[0] == GRANTED:
-                made.granted(str(at))
+                made.on_granted(str(at))
             elif told and told[0] == HELD:
                 name = "" if told[1] == NOBODY else str(told[1])
-                made.held(str(at), name, Mark(told[2]), None if told[3] == NOBODY else told[3])
+                made.on_held_by_other(
+                    str(at), name, OperationStatus(told[2]), None if told[3] == NOBODY else told[3]
+                )
             elif told:
-                made.failed(str(at))
+                made.on_unavailable(str(at))
         if silent:
             for at in range(self.controllers):
-                made.silent(str(at))
-        verdict = made.verdict(ticks * TICK_S)
-        return verdict, NOBODY if made.answer is None else made.answer, made.troubled
+                made.on_timeout(str(at))
+        verdict = made.decision(ticks * TICK_S)
+        return verdict, NOBODY if made.response is None else made.response, made.has_refusal
 
     # --- states
 
@@ -143,8 +147,8 @@
         claims, controllers = [("idle", 0)] * self.claimants, [controller] * self.controllers
         if self.head:
             claims[0] = ("run" if self.head == "run" else "out", 0)
-            have = self.voters.write if self.head == "run" else 1
-            grant = (0, int(Mark.CLAIMED), NOBODY)
+            have = self.voters.write_quorum if self.head == "run" else 1
+            grant = (0, int(OperationStatus.CLAIMED), NOBODY)
             for at in range(self.controllers):
                 heard = (GRANTED,) if self.head == "granted" else NONE
                 links = put(
@@ -258,7 +262,7 @@
                     )
             if controller[5]:
                 yield f"controller {at} syncs {controller[5][0][0]}", self._synced(state, at)
-            if left[6] and controller[2] and controller[2][1] == Mark.CLAIMED:
+            if left[6] and controller[2] and controller[2][1] == OperationStatus.CLAIMED:
                 made = put(controllers, at, put(controller, 2, self.apply(controller[2], "late", 0)[0]))
                 yield (
                     f"the claim of {name(controller[2][0])} runs out at controller {at}",
@@ -272,7 +276,7 @@
         phase, began = claims[who]
         if phase == "idle":
             # The others may be asked at any time after, so that to ask all at once is among the cases.
-            size = self.voters.write if self.few else len(controllers)
+            size = self.voters.write_quorum if self.few else len(controllers)
             for asked in itertools.combinations(range(len(controllers)), size):
                 made = now, put(claims, who, ("out", now)), controllers, left
                 yield (
@@ -313,12 +317,12 @@
         now, claims, controllers, left = state
         heard = tuple(sorted(controller[8][who][3] for controller in controllers))
         verdict, answer, troubled = self.count(heard, now - claims[who][1], silent)
-        if verdict == Verdict.WAIT:
+        if verdict == ClaimDecision.WAIT:
             return self._ask(state, who, range(len(controllers))) if troubled else state
-        if verdict == Verdict.RUN:
+        if verdict == ClaimDecision.RUN:
             return self._ends(state, who, "run", "")
         word = "free" if self.parts.frees_own else "done"
-        if verdict == Verdict.REPEAT:
+        if verdict == ClaimDecision.REPEAT:
             return self._ends(state, who, "repeat", word, answer)
         return self._ends(state, who, "over", word)
 
@@ -349,7 +353,7 @@
         if not controller[0]:
             return self._reply(controller, who, (FAILED,)) if waits else controller
         grant, _ = self.apply(controller[2], "claim", who)
-        if grant[0] != who or grant[1] != Mark.CLAIMED:
+        if grant[0] != who or grant[1] != OperationStatus.CLAIMED:
             return self._reply(controller, who, (HELD, *grant)) if waits else controller
         controller = put(controller, 2, grant)
         if waits and not self.parts.synced:
@@ -397,7 +401,7 @@
             rows = put(controllers, other, put(controller, 6, 1))
             made = put(me, 2, self.apply(me[2], "take", 0, controller[2])[0])
             say = f"controller {at}, whose disk was lost, hears what controller {other} has"
-            if sum(row[6] for row in rows) >= self.voters.read:
+            if sum(row[6] for row in rows) >= self.voters.read_quorum:
                 rows = tuple(put(row, 6, 0) for row in rows)
                 kept = (("key", made[2], NOBODY),) if made[2] else NONE
                 made = put(made, 5, (*made[5], *kept, ("whole",)))
@@ -474,7 +478,7 @@
     """An answer to a claim, as it is printed."""
     if told[0] != HELD:
         return "granted" if told[0] == GRANTED else "can't"
-    return f"{Mark(told[2]).name.lower()}, {name(told[1])}'s"
+    return f"{OperationStatus(told[2]).name.lower()}, {name(told[1])}'s"
 
 
 def spend(left: tuple[int, ...], kind: str) -> tuple[int, ...]:
@@ -512,7 +516,7 @@
     for who, (phase, _) in enumerate(state[1]):
         if phase in MAY_HAVE_RUN:
             open_ = sum(1 for controller in state[2] if controller[0] and not controller[2])
-            if open_ >= model.voters.write:
+            if open_ >= model.voters.write_quorum:
                 return f"{open_} controllers would grant the key of {name(who)}"
     return ""
 
--- a/verify/items.py
+++ b/verify/items.py
@@ -6,7 +6,7 @@
 asks the others (wipe), or loses what is on its way (cut). Requests come at any time, also long after whoever
 sent them has given up; an answer is heard at once or never, as hearing it later only delays what its proposer
 does next, and what it sends may be late by any time. Nobody waits for a turn: the courtesy by which machines
-keep proposers apart (`mesh.state.quorum.Turn`) makes orders of steps rarer, never impossible.
+keep proposers apart (`mesh.state.quorum.WriteLease`) makes orders of steps rarer, never impossible.
 
 A state is (proposers, machines, sidecar, faults left). Machines are sorted: they are alike.
     proposer: phase, tries, number of its ballot, number of the change, items proposed
@@ -25,7 +25,7 @@
 from typing import Any
 
 from mesh.control.consensus import Promise, Replica
-from mesh.state.ballots import FIRST, Ballot, Draft
+from mesh.state.ballots import INITIAL_BALLOT, Ballot, Draft
 from mesh.state.configuration import EMPTY, Item, Items
 from verify.parts import Parts
 from verify.search import Model, Property, State, StepProperty, put
@@ -217,7 +217,7 @@
     # --- states
 
     def start(self) -> State:
-        replica = (self.base, 1, tuple(FIRST), NONE, tuple(FIRST))
+        replica = (self.base, 1, tuple(INITIAL_BALLOT), NONE, tuple(INITIAL_BALLOT))
         machine = (1, replica, replica, 1, 0, ((0, NONE, NONE),) * len(self.calls))
         idle = ("idle", 0, 0, 0, NONE)
         return (idle,) * len(self.calls), (machine,) * self.controllers, self.base, self.faults
@@ -354,7 +354,7 @@
         proposers, machines, sidecar, left = state
         phase, tries, number, sequence, rows = proposers[who]
         heard = [machine[LINKS][who][2] for machine in machines if machine[LINKS][who][2]]
-        if phase not in BUSY or len(heard) < self.voters.write:
+        if phase not in BUSY or len(heard) < self.voters.write_quorum:
             return state
         home = self._home(state, who)
         if phase == "prepare":
@@ -424,7 +424,7 @@
                 replica = self.adopted(replica, theirs[3], theirs[2])
             rows = put(put(machines, other, put(row, TOLD, 1)), at, put(machine, REPLICA, replica))
             say = f"machine {at}, whose disk was lost, hears what machine {other} has"
-            if sum(one[TOLD] for one in rows) >= self.voters.read:
+            if sum(one[TOLD] for one in rows) >= self.voters.read_quorum:
                 rows = tuple(put(one, TOLD, 0) for one in rows)
                 made = put(rows[at], COUNTS, 1)
                 if self.parts.counts_late:
@@ -469,9 +469,9 @@
         proposers, machines, sidecar, left = state
         machine = machines[at]
         links = tuple((0, NONE, heard) for _, _, heard in machine[LINKS])
-        empty = (NONE, 0, tuple(FIRST), NONE, tuple(FIRST))
+        empty = (NONE, 0, tuple(INITIAL_BALLOT), NONE, tuple(INITIAL_BALLOT))
         disk, whole = (empty, 0) if wiped else machine[DISK:TOLD]
-        replica = put(disk, 4, tuple(FIRST))
+        replica = put(disk, 4, tuple(INITIAL_BALLOT))
         rows = list(put(machines, at, (whole, replica, replica, whole, 0, links)))
         if not machine[COUNTS] or wiped:  # whoever asked has to ask again
             rows = [put(row, TOLD, 0) for row in rows]
@@ -486,7 +486,7 @@
     def reads(self, state: State) -> Iterator[State]:
         """What a reader finds, whichever machines that count it hears, if they are enough."""
         counting = [machine[REPLICA] for machine in state[1] if machine[COUNTS]]
-        for heard in itertools.combinations(counting, self.voters.read):
+        for heard in itertools.combinations(counting, self.voters.read_quorum):
             items: State = NONE
             for replica in heard:
                 items = self.merged(items, replica[0])
--- a/verify/mutations.py
+++ b/verify/mutations.py
@@ -16,9 +16,9 @@
 from mesh.control.ballot import Member
 from mesh.control.consensus import Plan, Promise, Replica
 from mesh.state import configuration
-from mesh.state.ballots import FIRST, Ballot, Draft
+from mesh.state.ballots import INITIAL_BALLOT, Ballot, Draft
 from mesh.state.configuration import Conflict, Item, Items, RoutingTable
-from mesh.state.idempotency import Claim, Grant, GrantRow, Mark, Registry, Verdict
+from mesh.state.idempotency import Claim, ClaimDecision, Grant, GrantRow, OperationStatus, Registry
 from mesh.state.quorum import Voters
 from verify import claims, items, sets
 from verify.claims import ClaimsModel
@@ -35,7 +35,7 @@
     __slots__ = ()
 
     @property
-    def write(self) -> int:
+    def write_quorum(self) -> int:
         return len(self.names) // 2
 
 
@@ -45,8 +45,8 @@
     __slots__ = ()
 
     @property
-    def read(self) -> int:
-        return super().read - 1
+    def read_quorum(self) -> int:
+        return super().read_quorum - 1
 
 
 class Unpromised(Replica):
@@ -55,7 +55,7 @@
     __slots__ = ()
 
     def accept(self, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica | None:
-        return self._replace(active_ballot=ballot, promised=FIRST)._accepted(ballot, sequence, items)
+        return self._replace(active_ballot=ballot, promised=INITIAL_BALLOT)._accepted(ballot, sequence, items)
 
     def _accepted(self, ballot: Ballot, sequence: int, items: tuple[Item, ...]) -> Replica | None:
         return super().accept(ballot, sequence, items)
@@ -114,27 +114,32 @@
 class FirstStays(Registry):
     """Of claims that disagree the first one heard stays."""
 
-    def take(self, now: float, rows: Iterable[GrantRow]) -> None:
+    def merge(self, now: float, rows: Iterable[GrantRow]) -> None:
         for row in rows:
             mine = self._grants.get(row[0])
-            if mine is None or mine.mark == Mark.DONE or row[2] == Mark.DONE or mine.token == row[1]:
-                super().take(now, [row])
+            if (
+                mine is None
+                or mine.status == OperationStatus.DONE
+                or row[2] == OperationStatus.DONE
+                or mine.token == row[1]
+            ):
+                super().merge(now, [row])
 
 
 class FreeForAll(Registry):
     """Whoever says so frees a key."""
 
-    def free(self, now: float, key: str, token: str) -> bool:
+    def release(self, now: float, key: str, token: str) -> bool:
         grant = self._grants.get(key)
-        return grant is not None and super().free(now, key, grant.token)
+        return grant is not None and super().release(now, key, grant.token)
 
 
 class Forgiving(Registry):
     """A claim whose time is over may go to the next."""
 
-    def look(self, now: float, key: str) -> Grant | None:
-        grant = super().look(now, key)
-        if grant is not None and grant.mark == Mark.BROKEN:
+    def get(self, now: float, key: str) -> Grant | None:
+        grant = super().get(now, key)
+        if grant is not None and grant.status == OperationStatus.BROKEN:
             del self._grants[key]
             return None
         return grant
@@ -144,8 +149,8 @@
     """Whoever claims last has it."""
 
     def claim(self, now: float, key: str, token: str, left_s: float) -> tuple[Grant, bool]:
-        grant = self.look(now, key)
-        if grant is not None and grant.mark == Mark.CLAIMED and grant.token != token:
+        grant = self.get(now, key)
+        if grant is not None and grant.status == OperationStatus.CLAIMED and grant.token != token:
             del self._grants[key]
         return super().claim(now, key, token, left_s)
 
@@ -153,22 +158,22 @@
 class NoAnswers(Registry):
     """An answer is not kept: the key is free again."""
 
-    def done(self, now: float, key: str, token: str, answer: Any) -> bool:
+    def complete(self, now: float, key: str, token: str, answer: Any) -> bool:
         return self._grants.pop(key, None) is not None
 
 
 class Patient(Claim):
     """A round may take as long as it likes."""
 
-    def verdict(self, now: float) -> Verdict:
-        return super().verdict(min(now, self.started))
+    def decision(self, now: float) -> ClaimDecision:
+        return super().decision(min(now, self.started_at))
 
 
 class Guessing(Claim):
     """Who holds a key for another is taken to have answered."""
 
-    def held(self, controller: str, token: str, mark: Mark, answer: Any) -> None:
-        super().held(controller, token, Mark.DONE, int(token or 0))
+    def on_held_by_other(self, controller: str, token: str, mark: OperationStatus, answer: Any) -> None:
+        super().on_held_by_other(controller, token, OperationStatus.DONE, int(token or 0))
 
 
 def unchecked(old: Items, call: Iterable[Item]) -> Result[tuple[Item, ...], str]:
@@ -193,19 +198,19 @@
     """Who has said yes to a successor still grants."""
 
     def votes(self, epoch: int) -> bool:
-        return self.voters.epoch == epoch == self.whole and self.me in self.voters.names
+        return self.voters.epoch == epoch == self.caught_up_epoch and self.address in self.voters.names
 
 
 class Fickle(Member):
     """A promise binds nobody."""
 
-    def bid(self, epoch: int, ballot: Ballot) -> bool:
-        self.promised = FIRST
-        return super().bid(epoch, ballot)
+    def promise(self, epoch: int, ballot: Ballot) -> bool:
+        self.promised = INITIAL_BALLOT
+        return super().promise(epoch, ballot)
 
-    def seal(self, epoch: int, ballot: Ballot, names: tuple[str, ...]) -> bool:
-        self.promised = FIRST
-        return super().seal(epoch, ballot, names)
+    def accept(self, epoch: int, ballot: Ballot, names: tuple[str, ...]) -> bool:
+        self.promised = INITIAL_BALLOT
+        return super().accept(epoch, ballot, names)
 
 
 Falls = tuple[Property | StepProperty, ...]
--- a/verify/sets.py
+++ b/verify/sets.py
@@ -23,7 +23,7 @@
 
 from mesh.control.ballot import Proposal
 from mesh.state.ballots import Accepted, Ballot
-from mesh.state.idempotency import Mark, Verdict
+from mesh.state.idempotency import ClaimDecision, OperationStatus
 from mesh.state.quorum import Voters, majority
 from verify.claims import MAY_HAVE_RUN, WAIT_TICKS, ClaimsModel, name
 from verify.parts import CLAIM_S, TICK_S, Parts
@@ -99,12 +99,12 @@
         epoch = member.voters.epoch
         votes = next((e for e in (1, 2) if member.votes(e)), 0)
         sealed = next((e for e in (2, 1) if epoch and member.sealed(e)), 0)
-        return epoch, member.voters.names, votes, sealed, member.counts
+        return epoch, member.voters.names, votes, sealed, member.caught_up
 
     def _told(self, number: int, home: int, began: int, told: State) -> tuple[str, tuple[str, ...]]:
         """How far a proposal is, and the names that it stands for, by the real count."""
         made = self.proposal(number, home, began, told)
-        return ("decided" if made.decided else "seal" if made.asked else "bid"), made.names
+        return ("decided" if made.decided else "seal" if made.prepared else "bid"), made.names
 
     def proposal(self, number: int, home: int, began: int, told: State) -> Proposal:
         """A proposal that was told some things."""
@@ -112,9 +112,9 @@
         for word, at, now, accepted in told:
             if word == "bound":
                 said = Accepted(Ballot(*accepted[0]), accepted[1]) if accepted else None
-                made.bound(now * TICK_S, NAMES[at], said)
+                made.on_promise(now * TICK_S, NAMES[at], said)
             else:
-                made.sealed(now * TICK_S, NAMES[at])
+                made.on_accepted(now * TICK_S, NAMES[at])
         if self.parts.obeys:
             return made
         made.names = self._wish(home)
@@ -127,11 +127,11 @@
     def _ballot(number: int, home: int) -> Ballot:
         return Ballot(number, NAMES[home])
 
-    def _count(self, names: tuple[str, ...], granted: int, ticks: int) -> Verdict:
-        made = self.parts.claim(len(names), self.parts.voters(1, names).write, 0.0, CLAIM_S)
+    def _count(self, names: tuple[str, ...], granted: int, ticks: int) -> ClaimDecision:
+        made = self.parts.claim(len(names), self.parts.voters(1, names).write_quorum, 0.0, CLAIM_S)
         for at in range(granted):
-            made.granted(str(at))
-        return made.verdict(ticks * TICK_S)
+            made.on_granted(str(at))
+        return made.decision(ticks * TICK_S)
 
     # --- states
 
@@ -192,7 +192,7 @@
         me = self.member(home, controllers[home][0])
         say = f"the proposal of {NAMES[home]}"
         if not number:
-            if me.votes(1) or (me.accepted and me.counts):
+            if me.votes(1) or (me.accepted and me.caught_up):
                 made = put(proposals, which, (home, me.promised.number + 1, now, NONE))
                 yield (
                     f"{NAMES[home]} proposes {''.join(self._wish(home))}",
@@ -215,7 +215,7 @@
                 continue
             member = self.member(at, controllers[at][0])
             ballot = self._ballot(number, home)
-            yes = member.bid(1, ballot) if phase == "bid" else member.seal(1, ballot, names)
+            yes = member.promise(1, ballot) if phase == "bid" else member.accept(1, ballot, names)
             if not yes:
                 continue
             accepted = NONE
@@ -239,7 +239,7 @@
                 continue
             seen.add(theirs)
             member = self.member(at, controllers[at][0])
-            member.learn(Voters(*theirs), self.member(other, row[0]).before)
+            member.learn(Voters(*theirs), self.member(other, row[0]).previous_voters)
             made = self._kept(controllers[at], records=self.records(member))
             yield (
                 f"controller {NAMES[at]} hears that {''.join(theirs[1])} vote in epoch {theirs[0]}",
@@ -251,10 +251,10 @@
         now, proposals, controllers, claims, left = state
         controller = controllers[at]
         me = self.member(at, controller[0])
-        if me.counts or not me.voters.epoch:
+        if me.caught_up or not me.voters.epoch:
             return
         if not self.parts.recovers:
-            me.settle(me.voters.epoch)
+            me.mark_caught_up(me.voters.epoch)
             yield (
                 f"controller {NAMES[at]} counts",
                 (
@@ -270,20 +270,20 @@
             return
         for told, sealed in me.sources():
             voters = self.parts.voters(*told)
-            own = int(sealed and me.me in voters.names and me.holds(voters.epoch))
+            own = int(sealed and me.address in voters.names and me.has_final_state(voters.epoch))
             there = []
             for other in range(4):
                 member = self.member(other, controllers[other][0])
-                answers = member.holds(voters.epoch) if sealed else member.votes(voters.epoch)
-                if other != at and member.me in voters.names and answers:
+                answers = member.has_final_state(voters.epoch) if sealed else member.votes(voters.epoch)
+                if other != at and member.address in voters.names and answers:
                     there.append(other)
-            for heard in itertools.combinations(there, max(0, voters.read - own)):
+            for heard in itertools.combinations(there, max(0, voters.read_quorum - own)):
                 grant = controller[2]
                 mine = self.member(at, controller[0])
                 for other in heard:
                     grant = self.keys.apply(grant, "take", 0, controllers[other][2])[0]
-                    mine.heard(voters.epoch, self.member(other, controllers[other][0]).promised)
-                mine.settle(mine.voters.epoch)
+                    mine.observe_promise(voters.epoch, self.member(other, controllers[other][0]).promised)
+                mine.mark_caught_up(mine.voters.epoch)
                 row = self._kept(controller, records=self.records(mine), grant=grant)
                 whom = ", ".join(NAMES[other] for other in heard) + (", sealed," if sealed else "")
                 yield (
@@ -311,10 +311,10 @@
             if NAMES[at] not in names or at in heard or self.can(at, controller[0])[2] != epoch:
                 continue
             grant = self.keys.apply(controller[2], "claim", who)[0]
-            if grant[0] != who or grant[1] != Mark.CLAIMED:
+            if grant[0] != who or grant[1] != OperationStatus.CLAIMED:
                 continue  # who does not grant adds nothing: nobody repeats an answer here
             granted = tuple(sorted((*heard, at)))
-            runs = self.count(names, len(granted), now - began) == Verdict.RUN
+            runs = self.count(names, len(granted), now - began) == ClaimDecision.RUN
             made = put(claims, who, ("run", 0, 0, NONE) if runs else ("out", began, epoch, granted))
             yield (
                 f"controller {NAMES[at]} grants the key to {name(who)}" + (", who runs" if runs else ""),
