--- a/mesh/control/lease.py
+++ b/mesh/control/lease.py
@@ -1,20 +1,20 @@
-"""Whether a control machine is in contact with a majority of the voters: a read lease. No I/O, no clock.
-
-A machine asks every other one at short intervals (`Heartbeat`). An answer renews the lease from the moment at
-which its question was *sent*, so a reply that was delayed, or that waited in a socket while the process stood
-still, renews nothing that has passed since. The lease holds while a majority of the voters, the machine
-itself among them where it votes, has answered questions that are younger than `lease_s`. An answer counts
-only once all that the other machine holds has been merged here; so a machine in contact holds every item
-that was acknowledged before its oldest counted question was sent.
-
-All times are seconds of one steady clock, read when an answer is about to be given, never before: a process
-that was frozen finds its lease over before it answers what waited for it. `lease_s` is half of the bound
-`contact`, so a clock that runs at half its speed still ends the lease in time. What remains is a process that
-is frozen between that look and its write: what it says then is late by the length of the freeze, and merges
-by version at whoever hears it.
-
-Source: leases of C. Gray and D. Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file
-cache consistency", 1989; the check quorum and lease reads of Raft (D. Ongaro, dissertation, 2014, 6.4).
+"""The read lease: whether a control machine is in contact with a majority of the voters. No I/O, no clock.
+
+A machine queries every other one at short intervals (`Heartbeat`). A response renews the lease from the time
+at which its request was *sent*, so a response that was delayed, or that waited in a socket while the process
+was frozen, renews nothing for the time since. The lease holds while a majority of the voters, including the
+machine itself if it votes, has responded to requests that are younger than `lease_s`. A response counts only
+after everything that the other machine holds has been merged here. So a machine in contact holds every item
+that was acknowledged before its oldest counted request was sent.
+
+All times are seconds of one monotonic clock, read when a response is about to be given, never before: a
+process that was frozen finds its lease expired before it answers the requests that were waiting. `lease_s` is
+half of the bound `contact`, so a clock that runs at half its speed still ends the lease in time. What remains
+is a process that is frozen between that check and its write: what it then sends is late by the length of the
+freeze, and the receiver merges it by version.
+
+Source: C. Gray and D. Cheriton, "Leases: an efficient fault-tolerant mechanism for distributed file cache
+consistency", 1989; the check quorum and lease reads of Raft (D. Ongaro, dissertation, 2014, 6.4).
 """
 
 from __future__ import annotations
@@ -23,48 +23,50 @@
 
 from mesh.state.quorum import Voters
 
-LEASE_PART = 0.5  # of the bound `contact`
-HEARTBEAT_PART = 0.1  # of the bound `contact`: how often others are asked
+LEASE_FRACTION = 0.5  # of the bound `contact`
+HEARTBEAT_FRACTION = 0.1  # interval of heartbeats, of the bound `contact`
 
 
 class ReadLease:
-    """The lease of one machine."""
+    """The read lease of one machine."""
 
-    def __init__(self, me: str, lease_s: float) -> None:
-        self._me, self._lease_s = me, lease_s
-        self._asked_at: dict[str, float] = {}  # by machine: when the last question it has answered was sent
+    def __init__(self, own_address: str, lease_s: float) -> None:
+        self._own_address, self._lease_s = own_address, lease_s
+        self._sent_at: dict[str, float] = {}  # by voter: send time of the latest request it responded to
 
-    def answered(self, name: str, asked_at: float) -> None:
-        """A voter has answered a question of that time, and what it holds has been merged."""
-        self._asked_at[name] = max(asked_at, self._asked_at.get(name, asked_at))
+    def renew(self, name: str, sent_at: float) -> None:
+        """Counts a voter's response to a request sent at `sent_at`, after its state has been merged."""
+        self._sent_at[name] = max(sent_at, self._sent_at.get(name, sent_at))
 
-    def heard(self, now: float, voters: Voters, votes: bool) -> list[str]:
-        """The voters that count now. `votes`: whether this machine is one that may answer as a voter."""
+    def counted_voters(self, now: float, voters: Voters, votes: bool) -> list[str]:
+        """Returns the voters that count now. `votes` says whether this machine may act as a voter itself."""
         oldest = now - self._lease_s
         return [
             name
             for name in voters.names
-            if (votes if name == self._me else self._asked_at.get(name, oldest - 1.0) >= oldest)
+            if (votes if name == self._own_address else self._sent_at.get(name, oldest - 1.0) >= oldest)
         ]
 
     def holds(self, now: float, voters: Voters, votes: bool) -> bool:
-        """Whether a majority counts."""
-        return voters.epoch > 0 and len(self.heard(now, voters, votes)) >= voters.write
+        """Returns whether a majority counts."""
+        return voters.epoch > 0 and len(self.counted_voters(now, voters, votes)) >= voters.write_quorum
 
     def clear(self) -> None:
-        """Others vote now: what those before answered is void."""
-        self._asked_at.clear()
+        """Discards all responses, as the voters have changed."""
+        self._sent_at.clear()
 
 
-class Safety(NamedTuple):
-    """What the voters that can be reached are worth."""
+class FaultTolerance(NamedTuple):
+    """What the reachable voters can still lose."""
 
-    copies: int  # of the least-copied acknowledged thing, at the least
-    losses: int  # machines that may still be lost, with all that was acknowledged kept and a majority left
+    copies: int  # minimum number of copies of any acknowledged write
+    losses: int  # machines that may be lost while all acknowledged writes and a majority remain
 
 
-def safety(voters: Voters, whole: int) -> Safety:
-    """Of so many voters that are whole and can be reached. A thing was acknowledged by a majority; at worst
-    all that are missing are of that majority."""
-    copies = max(0, voters.write - (len(voters.names) - whole))
-    return Safety(copies, max(0, min(whole - voters.write, copies - 1)))
+def fault_tolerance(voters: Voters, caught_up: int) -> FaultTolerance:
+    """Returns the fault tolerance with a number of caught-up and reachable voters.
+
+    A write was acknowledged by a majority; in the worst case all missing voters belong to that majority.
+    """
+    copies = max(0, voters.write_quorum - (len(voters.names) - caught_up))
+    return FaultTolerance(copies, max(0, min(caught_up - voters.write_quorum, copies - 1)))
--- a/mesh/control/recovery.py
+++ b/mesh/control/recovery.py
@@ -1,8 +1,8 @@
-"""How a controller becomes whole: at the first start, with an emptied disk, or once others vote.
+"""How a controller catches up: at the first start, with a wiped disk, or after the voters have changed.
 
-It is whole once so many others have been heard that nothing that was acknowledged, and no key that was
-granted, can be missing. Grants are fetched part by part, however many there are; the parts of one answer are
-of one moment.
+It is caught up once it has received the state of so many others that no acknowledged item and no granted key
+can be missing. Grants are fetched in parts, however many there are; all parts of one transfer are of one
+moment.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from loguru import logger
 
 from mesh.control.agreement import Agreement
-from mesh.control.ballot import first_voters
+from mesh.control.ballot import initial_voters
 from mesh.control.context import CLAIM_TIMEOUT_S, Context
 from mesh.control.key_grants import KeyGrants
 from mesh.control.peers import Peers
-from mesh.state.idempotency import FREED_S, GrantSnapshot
+from mesh.state.idempotency import FREED_RETENTION_S, GrantSnapshot
 from mesh.state.quorum import Voters
 from mesh.transport.connection import PeerConnection
 from mesh.transport.messages import FetchGrants, GrantsAnswer, checksum, matches_checksum
 
-GATHER_S = 0.4  # nobody new for so long: the first voters are all there
-PART_S = 1.0  # how long one part of the grants is waited for
-PART_TRIES = 3  # how often a part is asked for before its sender is given up
-SNAPSHOT_S = FREED_S  # grants of one moment are told for no longer than what was freed since is known
-LOOK_S = 0.02
-AGAIN_S = 0.05  # between two tries to become whole
-MARGIN_S = 0.1  # on top of a round's time: timers and clocks
+DISCOVERY_QUIET_S = 0.4  # with no new controller for so long, all candidates for the first voters are known
+PART_TIMEOUT_S = 1.0
+MAX_PART_ATTEMPTS = 3  # requests for one part before the sender is given up
+SNAPSHOT_TTL_S = FREED_RETENTION_S  # an older snapshot could bring back a token whose release is forgotten
+POLL_INTERVAL_S = 0.02
+RETRY_INTERVAL_S = 0.05  # between two attempts to catch up
+TIMER_MARGIN_S = 0.1  # added to the duration of a round for inexact timers and clocks
 
 
-class Serving(NamedTuple):
-    """Grants of one moment, for one other controller that asks for them part by part."""
+class GrantTransfer(NamedTuple):
+    """A snapshot of grants that another controller is fetching in parts."""
 
     epoch: int
     sealed: bool
@@ -41,10 +41,10 @@
 
 
 class Recovery:
-    """One controller's way back to a whole disk.
+    """Brings one controller's disk up to date.
 
-    `elect` is told of the first voters. `state` tells all records that count, `on_whole` is called once this
-    controller is whole again.
+    `elect` is called with the first voters, `state` returns all records that count, and `on_caught_up` is
+    called each time this controller has caught up.
     """
 
     def __init__(
@@ -55,100 +55,113 @@
         grants: KeyGrants,
         elect: Callable[[Voters], None],
         state: Callable[[], Iterable[Any]],
-        on_whole: Callable[[], None],
+        on_caught_up: Callable[[], None],
     ) -> None:
         self._context, self._peers, self._agreement, self._grants = context, peers, agreement, grants
-        self._elect, self._state, self._on_whole = elect, state, on_whole
-        self._began = context.loop.time()
-        self._settling = False
-        self.repairs = 0  # times that this controller became whole again
-        self._served: dict[PeerConnection, Serving] = {}  # by who asks
+        self._elect, self._state, self._on_caught_up = elect, state, on_caught_up
+        self._started_at = context.loop.time()
+        self._catching_up = False
+        self.repairs = 0  # how often this controller has caught up
+        self._transfers: dict[PeerConnection, GrantTransfer] = {}  # by the connection of the receiver
 
-    # --- becoming whole
+    # --- catching up
 
-    async def begin(self, fresh: bool) -> None:
-        """The first voters, or what a lost disk held. `fresh`: nothing was on this disk."""
+    async def run(self, is_new: bool) -> None:
+        """Names the first voters or recovers a lost disk, as needed. `is_new`: nothing was on this disk."""
         seeds = self._context.settings.seed_peers
-        if fresh and seeds and seeds[0] == self._context.me:
+        if is_new and seeds and seeds[0] == self._context.me:
             await self._name_first_voters(seeds)
-        if not self._context.member.counts:
-            await self.settle()
+        if not self._context.member.caught_up:
+            await self.catch_up()
 
     async def _name_first_voters(self, seeds: list[str]) -> None:
-        """Only the first start has controllers that are whole and know of no voters: seeds that are all new
-        must never name voters beside those that there are."""
+        """Names the voters of epoch 1 once all seeds have been reached.
+
+        Only at the first start of a mesh are there controllers that are caught up and know of no voters.
+        Seeds that are all new machines must never name voters beside those that exist.
+        """
         context, peers = self._context, self._peers
         while not context.voters.epoch:
-            met = all(peers.epochs.get(seed) == 0 for seed in seeds if seed != context.me)
-            first = context.member.counts or bool(peers.whole_first)
-            if met and first and context.loop.time() > peers.newest_at + GATHER_S:
+            all_reached = all(peers.epochs.get(seed) == 0 for seed in seeds if seed != context.me)
+            is_first_start = context.member.caught_up or bool(peers.caught_up_without_voters)
+            if (
+                all_reached
+                and is_first_start
+                and context.loop.time() > peers.last_discovery_at + DISCOVERY_QUIET_S
+            ):
                 zones = {name: peers.zones.get(name, "") for name in peers.names}
                 zones[context.me] = context.settings.zone
-                self._elect(Voters(1, first_voters(zones, context.settings.losses)))
+                self._elect(Voters(1, initial_voters(zones, context.settings.losses)))
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def settle(self) -> None:
-        """Be whole again, in the epoch that stands: a controller whose disk is gone, or one whose epoch is
-        over."""
-        if self._settling:
+    async def catch_up(self) -> None:
+        """Catches up in the current epoch, after the disk was lost or the voters have changed."""
+        if self._catching_up:
             return
-        self._settling = True
+        self._catching_up = True
         member, loop = self._context.member, self._context.loop
         try:
-            while not member.counts:
-                if member.may_have_promised and loop.time() < self._began + CLAIM_TIMEOUT_S + MARGIN_S:
-                    await asyncio.sleep(LOOK_S)  # until rounds that a former life answered are void
-                elif not await self._hear_any():
-                    await asyncio.sleep(AGAIN_S)
+            while not member.caught_up:
+                if (
+                    member.may_have_promised
+                    and loop.time() < self._started_at + CLAIM_TIMEOUT_S + TIMER_MARGIN_S
+                ):
+                    # Rounds that an earlier incarnation took part in have to be void first.
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                elif not await self._read_from_any():
+                    await asyncio.sleep(RETRY_INTERVAL_S)
         finally:
-            self._settling = False
+            self._catching_up = False
         self.repairs += 1
         items, keys = len(self._agreement.replica.items), len(self._grants.registry)
-        logger.info("whole again", epoch=self._context.voters.epoch, items=items, keys=keys)
-        self._on_whole()
+        logger.info("caught up", epoch=self._context.voters.epoch, items=items, keys=keys)
+        self._on_caught_up()
 
-    async def _hear_any(self) -> bool:
-        """Hear all that one of the sets of voters has that are enough."""
+    async def _read_from_any(self) -> bool:
+        """Reads the state of one of the sets of voters that suffice. Returns whether one could be read."""
         for voters, sealed in list(self._context.member.sources()):
-            if await self._hear_all(voters, sealed):
+            if await self._read_from(voters, sealed):
                 return True
         return False
 
-    async def _hear_all(self, voters: Voters, sealed: bool) -> bool:
-        """Hear all that some voters have, and write it down; whether they were enough."""
+    async def _read_from(self, voters: Voters, sealed: bool) -> bool:
+        """Reads the state of a read quorum of some voters and writes it to disk.
+
+        Returns whether it succeeded.
+        """
         context, member = self._context, self._context.member
         epoch = context.voters.epoch
-        own = sealed and context.me in voters.names and member.holds(voters.epoch)
-        if not await self._agreement.fetch(voters, voters.read, own, sealed):
+        own = sealed and context.me in voters.names and member.has_final_state(voters.epoch)
+        if not await self._agreement.fetch(voters, voters.read_quorum, own, sealed):
             return False
-        fetched = await self.fetch_grants(voters, voters.read - own, sealed)
+        fetched = await self.fetch_grants(voters, voters.read_quorum - own, sealed)
         if not fetched or context.voters.epoch != epoch:
             return False
-        done: asyncio.Future[bool] = context.loop.create_future()
+        written: asyncio.Future[bool] = context.loop.create_future()
         for record in self._state():
             context.write(record)
-        context.write(["whole", epoch], done.set_result)
-        if not await done:
+        context.write(["whole", epoch], written.set_result)
+        if not await written:
             return False
-        member.settle(epoch)
+        member.mark_caught_up(epoch)
         return True
 
-    # --- grants of others
+    # --- fetching grants
 
-    async def fetch_grants(self, voters: Voters, need: int, sealed: bool) -> bool:
-        """Take over all grants that so many voters hold; whether they could be had."""
-        if need <= 0:
+    async def fetch_grants(self, voters: Voters, needed: int, sealed: bool) -> bool:
+        """Fetches and merges the grants of at least `needed` voters. Returns whether it succeeded."""
+        if needed <= 0:
             return True
         tasks = [
             self._context.loop.create_task(self._fetch_from(link, voters.epoch, sealed))
-            for link in self._peers.of(voters)
+            for link in self._peers.connections_to(voters)
         ]
-        whole = 0
+        fetched = 0
         try:
-            for answered in asyncio.as_completed(tasks):
-                whole += await answered
-                if whole >= need:
+            for finished in asyncio.as_completed(tasks):
+                fetched += await finished
+                if fetched >= needed:
                     return True
             return False
         finally:
@@ -156,75 +169,75 @@
                 task.cancel()
 
     async def _fetch_from(self, link: PeerConnection, epoch: int, sealed: bool) -> bool:
-        """Take over all grants of one other; whether it could tell them all."""
+        """Fetches and merges all grants of one controller. Returns whether they were complete."""
         part, more = 0, True
         while more:
-            answer = await self._fetch_part(link, epoch, sealed, part)
-            if answer is None or not answer.yes or answer.epoch != epoch:
+            response = await self._fetch_part(link, epoch, sealed, part)
+            if response is None or not response.yes or response.epoch != epoch:
                 return False
-            if not matches_checksum(answer.rows, answer.checksum):
+            if not matches_checksum(response.rows, response.checksum):
                 return False
-            self._grants.registry.take(self._context.wall_time(), answer.rows)
-            self._context.member.heard(epoch, answer.promised)
-            part, more = part + 1, answer.more
+            self._grants.registry.merge(self._context.wall_time(), response.rows)
+            self._context.member.observe_promise(epoch, response.promised)
+            part, more = part + 1, response.more
         return True
 
     async def _fetch_part(
         self, link: PeerConnection, epoch: int, sealed: bool, part: int
     ) -> GrantsAnswer | None:
-        """One part; None where it does not come. A question may be lost with its connection."""
-        found: list[GrantsAnswer] = []
+        """Fetches one part, or returns None. Repeats the request, as it may be lost with its connection."""
+        responses: list[GrantsAnswer] = []
 
-        def take(name: str, answer: GrantsAnswer) -> bool:
-            found.append(answer)
+        def handle_response(name: str, response: GrantsAnswer) -> bool:
+            responses.append(response)
             return True
 
         rounds = self._context.rounds
-        for _ in range(PART_TRIES):
+        for _ in range(MAX_PART_ATTEMPTS):
             if not link.open:
                 return None
-            number, made = rounds.open(1, 1, PART_S, take)
+            number, round_ = rounds.open(1, 1, PART_TIMEOUT_S, handle_response)
             link.send(FetchGrants(number, epoch, sealed, part))
             try:
-                if await made.wait_for_quorum():
-                    return found[0]
+                if await round_.wait_for_quorum():
+                    return responses[0]
             finally:
                 rounds.close(number)
         return None
 
-    # --- answers to others
+    # --- serving grants
 
-    def answer_grants(self, link: PeerConnection, asked: FetchGrants) -> None:
-        """Tell grants, as a voter of the epoch or as a sealed one."""
+    def on_fetch_grants(self, link: PeerConnection, request: FetchGrants) -> None:
+        """Sends grants, as a voter of the epoch or as a sealed one."""
 
-        def tell(yes: bool) -> None:
+        def respond(yes: bool) -> None:
             promised = self._context.member.promised
-            snapshot = self._snapshot(link, asked) if yes else None
+            snapshot = self._snapshot(link, request) if yes else None
             if snapshot is None:
-                link.send(GrantsAnswer(asked.round, False, (), asked.epoch, promised))
+                link.send(GrantsAnswer(request.round, False, (), request.epoch, promised))
                 return
-            rows, more = snapshot.part(self._context.wall_time(), asked.part)
-            told = GrantsAnswer(asked.round, True, rows, asked.epoch, promised, more, checksum(rows))
-            link.send(told)
+            rows, more = snapshot.part(self._context.wall_time(), request.part)
+            response = GrantsAnswer(request.round, True, rows, request.epoch, promised, more, checksum(rows))
+            link.send(response)
 
-        if asked.sealed:
-            self._context.confirm_sealed(asked.epoch, tell)
+        if request.sealed:
+            self._context.confirm_sealed(request.epoch, respond)
         else:
-            tell(self._context.member.votes(asked.epoch))
-
-    def _snapshot(self, link: PeerConnection, asked: FetchGrants) -> GrantSnapshot | None:
-        """The grants of one moment for one that asks; None where its parts are of a moment that is gone."""
-        served = self._served.get(link)
-        if asked.part == 0:
-            served = Serving(
-                asked.epoch, asked.sealed, self._grants.registry.snapshot(self._context.wall_time())
+            respond(self._context.member.votes(request.epoch))
+
+    def _snapshot(self, link: PeerConnection, request: FetchGrants) -> GrantSnapshot | None:
+        """Returns the snapshot of a transfer, a new one for the first part; None if it has expired."""
+        transfer = self._transfers.get(link)
+        if request.part == 0:
+            transfer = GrantTransfer(
+                request.epoch, request.sealed, self._grants.registry.snapshot(self._context.wall_time())
             )
-            self._served[link] = served
-            self._context.loop.call_later(SNAPSHOT_S, self._expire, link, served)
-        if served is None or (served.epoch, served.sealed) != (asked.epoch, asked.sealed):
+            self._transfers[link] = transfer
+            self._context.loop.call_later(SNAPSHOT_TTL_S, self._expire, link, transfer)
+        if transfer is None or (transfer.epoch, transfer.sealed) != (request.epoch, request.sealed):
             return None
-        return served.snapshot
+        return transfer.snapshot
 
-    def _expire(self, link: PeerConnection, served: Serving) -> None:
-        if self._served.get(link) is served:
-            del self._served[link]
+    def _expire(self, link: PeerConnection, transfer: GrantTransfer) -> None:
+        if self._transfers.get(link) is transfer:
+            del self._transfers[link]
--- a/mesh/state/quorum.py
+++ b/mesh/state/quorum.py
@@ -1,4 +1,4 @@
-"""Who holds the copies, and how many of them must. No I/O."""
+"""The voters, their quorums, a controller's view of its peers, and the write lease. No I/O."""
 
 from __future__ import annotations
 
@@ -7,70 +7,72 @@
 
 
 def majority(size: int) -> int:
-    """How many of so many any two sets of that size share one of."""
+    """Returns the size of a majority of `size` members. Any two majorities intersect."""
     return size // 2 + 1
 
 
 class Voters(NamedTuple):
-    """The controllers whose disks count, of one epoch."""
+    """The controllers that vote in one epoch."""
 
     epoch: int
-    names: tuple[str, ...]  # addresses of their connections, sorted
+    names: tuple[str, ...]  # their peer addresses, sorted
 
     @property
-    def write(self) -> int:
-        """Disks that must hold a thing: any two such sets share one, also after the losses allowed."""
+    def write_quorum(self) -> int:
+        """Disks that a write has to reach. Any two write quorums intersect, also after tolerated losses."""
         return majority(len(self.names))
 
     @property
-    def read(self) -> int:
-        """Controllers with whole disks to hear from, so that nothing acknowledged can be missing: so many
-        meet each set that a write went to, also where others of that set have lost their disks."""
-        return len(self.names) - self.write + 1
+    def read_quorum(self) -> int:
+        """Caught-up controllers to read from so that no acknowledged write can be missed.
 
-    def newer(self, other: Voters | None) -> bool:
-        """Whether it follows another."""
+        So many intersect each write quorum, also if other members of that quorum have lost their disks.
+        """
+        return len(self.names) - self.write_quorum + 1
+
+    def supersedes(self, other: Voters | None) -> bool:
+        """Returns whether these voters are newer than others."""
         return other is None or (self.epoch, self.names) > (other.epoch, other.names)
 
 
-NOBODY = Voters(0, ())
+NO_VOTERS = Voters(0, ())
 
 
 class PeerView(NamedTuple):
-    """What one controller sees of the others, and is itself."""
+    """One controller's view of its peers, and its own state."""
 
-    gone: Mapping[str, float]  # seconds since each was heard
-    steady: Mapping[str, float]  # seconds for which each has been heard, without a break
-    votes: bool  # in the asker's epoch
-    counts: bool
+    silence_s: Mapping[str, float]  # by peer: seconds since it last responded
+    contact_s: Mapping[str, float]  # by peer: seconds of uninterrupted contact
+    votes: bool  # in the epoch of the request
+    caught_up: bool
     zone: str = ""
-    old: bool = True  # whether a process that knows nothing of epochs is linked to it, or it is one
-    leaves: bool = False  # whether it has been told to end
+    has_legacy_peer: bool = True  # it or a process connected to it runs a version without epochs
+    stopping: bool = False  # it is shutting down
 
 
-class Turn:
-    """One controller's word on whose turn it is to write: one writer at a time, for a while.
+class WriteLease:
+    """One controller's lease for a single writer at a time.
 
-    A write is taken only from the writer whose turn still stands here. Any two sets of as many controllers as
-    a write needs share one, so no write gets through beside another that did not see it. What was promised is
-    forgotten when the process ends: then the writer's write is refused here, which is safe.
+    A write is accepted only from the writer whose lease is still held here. Any two write quorums intersect,
+    so no write succeeds beside another that did not see it. The lease is lost when the process ends: the
+    writer's write is then rejected here, which is safe.
     """
 
-    def __init__(self, lasts_s: float) -> None:
-        self._lasts, self._token, self._until = lasts_s, "", 0.0
+    def __init__(self, duration_s: float) -> None:
+        self._duration_s, self._token, self._expires_at = duration_s, "", 0.0
 
-    def take(self, now: float, token: str) -> bool:
-        """Give the turn, unless another has it."""
-        if self._token not in ("", token) and now < self._until:
+    def acquire(self, now: float, token: str) -> bool:
+        """Gives or renews the lease, unless another writer holds it."""
+        if self._token not in ("", token) and now < self._expires_at:
             return False
-        self._token, self._until = token, now + self._lasts
+        self._token, self._expires_at = token, now + self._duration_s
         return True
 
     def holds(self, token: str) -> bool:
-        """Whether the turn is still this writer's."""
+        """Returns whether a writer still holds the lease."""
         return token == self._token
 
-    def over(self, token: str) -> None:
-        """The writer is done."""
+    def release(self, token: str) -> None:
+        """Releases a writer's lease."""
         if token == self._token:
             self._token = ""
