--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -31,7 +31,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from mesh.proxy.endpoints import Endpoint, draw
+from mesh.proxy.endpoints import Endpoint, sample_candidates
 from mesh.proxy.subset import Subset
 
 ZONES = ("a", "b", "c")
@@ -108,7 +108,7 @@
 
     def _pick(self) -> Server:
         known = self._known[self._caller()]
-        drawn = draw(0.0, known, (), self._random.random, lambda endpoint: True)
+        drawn = sample_candidates(0.0, known, (), self._random.random, lambda endpoint: True)
         servers = [self._servers[endpoint.node] for endpoint in drawn]
         return min(servers, key=lambda server: (server.load, self._random.random()))
 
--- a/mesh/__main__.py
+++ b/mesh/__main__.py
@@ -62,7 +62,7 @@
         if read.is_error():
             logger.warning("settings stay: {}", read.error)
         elif read.ok != part.settings:
-            part.resettle(read.ok)
+            part.reload_settings(read.ok)
             logger.info("settings taken over")
 
 
@@ -93,7 +93,7 @@
     if metrics:
         from mesh.transport.metrics_server import start_metrics_server
 
-        await start_metrics_server(told.ip, metrics, part.figures)
+        await start_metrics_server(told.ip, metrics, part.metrics)
     gc.freeze()
     gc.enable()
     following = loop.create_task(_follow(part, path, again))
--- a/mesh/control/admin_api.py
+++ b/mesh/control/admin_api.py
@@ -8,8 +8,8 @@
 from mesh.control.agreement import ROUND_TIMEOUT_S, Agreement
 from mesh.control.context import Context
 from mesh.control.heartbeats import Heartbeats
-from mesh.errors import ANSWERS, ErrorKind
-from mesh.figures import LabelledCounts
+from mesh.errors import ERROR_RESPONSES, ErrorKind
+from mesh.figures import LabelledCounter
 from mesh.state import configuration
 
 REQUEST_TIMEOUT_S = 0.9  # every configuration request is answered within this time
@@ -23,7 +23,7 @@
 
     def __init__(self, context: Context, agreement: Agreement, heartbeats: Heartbeats) -> None:
         self._context, self._agreement, self._heartbeats = context, agreement, heartbeats
-        self.changes = LabelledCounts(
+        self.changes = LabelledCounter(
             "mesh_orders", "Operators' changes that were answered, by outcome.", ("outcome",)
         )
 
@@ -40,7 +40,7 @@
         elif path == b"/-/status" and message.method == b"GET":
             message.answer(200, self._status(), JSON_HEADERS)
         else:
-            message.answer(ANSWERS[ErrorKind.NOT_HERE].status)
+            message.answer(ERROR_RESPONSES[ErrorKind.NOT_HERE].status)
 
     def _refuse_change(self, message: Message, error: ErrorKind, reason: str = "") -> None:
         self.changes.add((error.name.lower(),))
@@ -48,8 +48,8 @@
 
     @staticmethod
     def _refuse(message: Message, error: ErrorKind, reason: str = "") -> None:
-        response = ANSWERS[error]
-        headers = [(b"Retry-After", RETRY_AFTER_S)] if response.promise else []
+        response = ERROR_RESPONSES[error]
+        headers = [(b"Retry-After", RETRY_AFTER_S)] if response.not_executed else []
         message.answer(response.status, reason.encode() or response.text, headers)
 
     def _status(self) -> bytes:
--- a/mesh/control/controller.py
+++ b/mesh/control/controller.py
@@ -22,7 +22,7 @@
 from mesh.control.peers import Peers
 from mesh.control.publisher import Publisher
 from mesh.control.recovery import Recovery
-from mesh.figures import Figure
+from mesh.figures import MetricFamily
 from mesh.settings import Settings
 from mesh.state import configuration
 from mesh.state.quorum import Voters
@@ -131,7 +131,7 @@
         yield from self.agreement.replica.records()
         yield from self.grants.records()
 
-    def figures(self) -> Iterable[Figure]:
+    def metrics(self) -> Iterable[MetricFamily]:
         """Returns the metrics of this process."""
         return controller_figures.metrics(
             self.context,
@@ -184,7 +184,7 @@
             self.context.member.mark_caught_up(1)
         return not records
 
-    def resettle(self, settings: Settings) -> None:
+    def reload_settings(self, settings: Settings) -> None:
         """Applies the settings that can change at run time: seeds and bounds. Others need a restart."""
         self.context.settings = settings
         for seed in settings.seed_peers:
--- a/mesh/control/controller_figures.py
+++ b/mesh/control/controller_figures.py
@@ -13,7 +13,7 @@
 from mesh.control.peers import Peers
 from mesh.control.publisher import Publisher
 from mesh.control.recovery import Recovery
-from mesh.figures import Figure, counter, gauge
+from mesh.figures import MetricFamily, counter, gauge
 
 
 def metrics(
@@ -26,7 +26,7 @@
     publisher: Publisher,
     recovery: Recovery,
     api: AdminApi,
-) -> Iterator[Figure]:
+) -> Iterator[MetricFamily]:
     """Yields all metric families of one controller."""
     yield from _voting(context, heartbeats)
     yield counter(
@@ -34,7 +34,7 @@
     )
     yield counter("mesh_elections", "Proposals of other voters that it has begun.", elections.proposals)
     yield counter("mesh_repairs", "Times that it became whole again.", recovery.repairs)
-    yield api.changes.figure()
+    yield api.changes.family()
     yield gauge("mesh_sequence", "Changes of the configuration that it holds.", agreement.replica.sequence)
     yield gauge("mesh_items", "Items that it holds, dropped ones too.", len(agreement.copy.items))
     yield gauge("mesh_keys", "Operation keys that it holds.", len(grants.registry))
@@ -49,7 +49,7 @@
     yield gauge("mesh_disk_well", "1 while the disk takes records.", context.store.healthy)
 
 
-def _voting(context: Context, heartbeats: Heartbeats) -> Iterator[Figure]:
+def _voting(context: Context, heartbeats: Heartbeats) -> Iterator[MetricFamily]:
     """Yields the metrics of contact with a majority, of the voters, and of the losses tolerated."""
     safety, voters = heartbeats.fault_tolerance, context.voters
     yield gauge("mesh_in_contact", "1 while it is in contact with a majority.", heartbeats.in_contact)
--- a/mesh/errors.py
+++ b/mesh/errors.py
@@ -30,11 +30,11 @@
     """What the caller is told."""
 
     status: int
-    promise: bool  # whether the status says that nothing ran
+    not_executed: bool  # whether the status says that nothing ran
     text: bytes
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
+ERROR_RESPONSES: dict[ErrorKind, Answer] = {
     ErrorKind.REFUSED: Answer(503, True, b"refused\n"),
     ErrorKind.FULL: Answer(503, True, b"full\n"),
     ErrorKind.LEAVING: Answer(503, True, b"leaving\n"),
@@ -51,5 +51,5 @@
     ErrorKind.NOT_HERE: Answer(404, False, b"not here\n"),
     ErrorKind.OWN: Answer(500, False, b"own error\n"),
 }
-PROMISES = frozenset(kind for kind, answer in ANSWERS.items() if answer.promise)
+NOT_EXECUTED_ERRORS = frozenset(kind for kind, answer in ERROR_RESPONSES.items() if answer.not_executed)
 """Kinds that are told only where nothing has run and nothing will."""
--- a/mesh/figures.py
+++ b/mesh/figures.py
@@ -10,43 +10,43 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-MOST_SERIES = 1000  # of one family
-OTHER = "other"  # the label of all that are beyond
+MAX_SERIES = 1000  # of one family
+OTHER_LABEL = "other"  # the label of all that are beyond
 
 Labels = tuple[str, ...]
 
 
-class FigureKind(enum.Enum):
+class MetricKind(enum.Enum):
     """What may become of a figure."""
 
     COUNTER = "counter"  # it only rises
     GAUGE = "gauge"
 
 
-class Figure(NamedTuple):
+class MetricFamily(NamedTuple):
     """One family as it stands now."""
 
     name: str
     help: str
-    kind: FigureKind
+    kind: MetricKind
     values: Mapping[Labels, float]
     label_names: Labels = ()
 
 
-def gauge(name: str, help_text: str, value: float) -> Figure:
+def gauge(name: str, help_text: str, value: float) -> MetricFamily:
     """A figure without labels."""
-    return Figure(name, help_text, FigureKind.GAUGE, {(): float(value)})
+    return MetricFamily(name, help_text, MetricKind.GAUGE, {(): float(value)})
 
 
-def counter(name: str, help_text: str, value: float) -> Figure:
+def counter(name: str, help_text: str, value: float) -> MetricFamily:
     """A count without labels."""
-    return Figure(name, help_text, FigureKind.COUNTER, {(): float(value)})
+    return MetricFamily(name, help_text, MetricKind.COUNTER, {(): float(value)})
 
 
-class LabelledCounts:
-    """Counts by labels. Beyond `most` labels what is new is counted under `OTHER`."""
+class LabelledCounter:
+    """Counts by labels. Beyond `most` labels what is new is counted under `OTHER_LABEL`."""
 
-    def __init__(self, name: str, help_text: str, label_names: Labels, most: int = MOST_SERIES) -> None:
+    def __init__(self, name: str, help_text: str, label_names: Labels, most: int = MAX_SERIES) -> None:
         self._name, self._help, self._label_names, self._most = name, help_text, label_names, most
         self._values: dict[Labels, float] = {}
 
@@ -54,9 +54,9 @@
         """Count something."""
         values = self._values
         if labels not in values and len(values) >= self._most:
-            labels = (OTHER,) * len(self._label_names)
+            labels = (OTHER_LABEL,) * len(self._label_names)
         values[labels] = values.get(labels, 0.0) + amount
 
-    def figure(self) -> Figure:
+    def family(self) -> MetricFamily:
         """The counts as they stand now."""
-        return Figure(self._name, self._help, FigureKind.COUNTER, dict(self._values), self._label_names)
+        return MetricFamily(self._name, self._help, MetricKind.COUNTER, dict(self._values), self._label_names)
--- a/mesh/proxy/call_runner.py
+++ b/mesh/proxy/call_runner.py
@@ -10,7 +10,7 @@
 
 from hollyport.http import heads
 from hollyport.http.back import Reply
-from mesh.errors import PROMISES, ErrorKind
+from mesh.errors import NOT_EXECUTED_ERRORS, ErrorKind
 from mesh.proxy.body_receiver import BodyReceiver, CallId
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.key_claims import KeyClaims
@@ -123,7 +123,7 @@
             on_answer(ForwardAnswer.failed(call_id[1], ErrorKind.LEAVING))
             return
         context.open_calls += 1
-        token = f"{context.me}/{context.life}/{context.fresh()}" if call.key else ""
+        token = f"{context.node_name}/{context.incarnation}/{context.next_number()}" if call.key else ""
         on_done = partial(self._on_done, call, call_id, token, on_answer)
         now = context.now()
         due_at, latest_start_at = self._latest_starts(now, call)
@@ -230,7 +230,7 @@
         if error is None and reply is not None:
             answer = [reply.status, heads.returned(reply.headers), reply.body]
             self._key_claims.report_done(key, token, answer)
-        elif error in PROMISES:
+        elif error in NOT_EXECUTED_ERRORS:
             self._key_claims.release(key, token)
         else:
             self._key_claims.report_broken(key, token)
--- a/mesh/proxy/context.py
+++ b/mesh/proxy/context.py
@@ -16,12 +16,12 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.loop = asyncio.get_running_loop()
-        self.me = settings.name
-        self.life = time.time_ns() // 1_000_000  # of this process: later ones are greater
+        self.node_name = settings.name
+        self.incarnation = time.time_ns() // 1_000_000  # of this process: later ones are greater
         self.random: Callable[[], float] = random.random
-        self.leaving = False  # told to end: others send nothing more
-        self.closed = False  # what still comes is refused at once
-        self.ends_at = float("inf")  # when everything will have been answered
+        self.draining = False  # told to end: others send nothing more
+        self.rejecting_requests = False  # what still comes is refused at once
+        self.shutdown_deadline = float("inf")  # when everything will have been answered
         self.open_requests = 0  # begun here and not answered
         self.open_calls = 0  # for the server beside, and not ended
         self._last = 0
@@ -30,7 +30,7 @@
         """The time."""
         return self.loop.time()
 
-    def fresh(self) -> int:
+    def next_number(self) -> int:
         """A number that nothing else in this process has."""
         self._last += 1
         return self._last
--- a/mesh/proxy/control_client.py
+++ b/mesh/proxy/control_client.py
@@ -55,8 +55,8 @@
         settings = context.settings
         self.copy = ConfigurationCopy()  # the items that are in force here
         self.table = configuration.EMPTY_TABLE
-        self.links: dict[str, PeerConnection] = {}  # by controller
-        self.following = ControllerSelector(context.me, settings.zone)
+        self.connections: dict[str, PeerConnection] = {}  # by controller
+        self.selector = ControllerSelector(context.node_name, settings.zone)
         self.on_table: Callable[[], None] = lambda: None
         self.records_digest: Callable[[], int] = lambda: 0
         """The digest of all records that this sidecar holds."""
@@ -65,7 +65,9 @@
         self._zones: dict[str, str] = {}
         self._lives: dict[str, int] = {}
         self._forgotten: dict[str, int] = {}  # the life with which others have forgotten a controller
-        self.key_claims = KeyClaims(context.loop, self.links, self._zones, settings.zone, context.fresh)
+        self.key_claims = KeyClaims(
+            context.loop, self.connections, self._zones, settings.zone, context.next_number
+        )
 
     def start(self) -> None:
         """Dial the seeds, as the settings name them now."""
@@ -80,7 +82,7 @@
     def send(self, message: Message) -> None:
         """Tell all controllers something."""
         packed = pack(message)
-        for link in self.links.values():
+        for link in self.connections.values():
             link.send_packed(packed)
 
     # --- connections
@@ -97,13 +99,13 @@
 
     def _connected(self, address: str, link: PeerConnection) -> None:
         link.peer = address
-        self.links[address] = link
+        self.connections[address] = link
         link.send(Register(self._own_record(), VERSION))
 
     def _disconnected(self, address: str, link: PeerConnection) -> None:
-        if self.links.get(address) is link:
-            del self.links[address]
-            self.following.on_disconnect(address)
+        if self.connections.get(address) is link:
+            del self.connections[address]
+            self.selector.on_disconnect(address)
             self._comparison.on_disconnect(address)
             self._follow()
             self._forget(address)
@@ -112,7 +114,7 @@
     def _forget(self, address: str) -> None:
         """Dial a controller no more that others have forgotten, unless it is reached from here."""
         kept = address in self._context.settings.seed_peers or address in self.key_claims.voters.names
-        if address in self._forgotten and address not in self.links and not kept:
+        if address in self._forgotten and address not in self.connections and not kept:
             dial = self._dials.pop(address, None)
             if dial is not None:
                 dial.stop()
@@ -137,9 +139,9 @@
 
     def hear_voters(self, link: PeerConnection, told: CurrentVoters) -> None:
         """Who votes."""
-        self.take_voters(Voters(told.epoch, told.names))
+        self.apply_voters(Voters(told.epoch, told.names))
 
-    def take_voters(self, voters: Voters) -> None:
+    def apply_voters(self, voters: Voters) -> None:
         """Claim keys of these voters from now on, if they are news."""
         if not voters.supersedes(self.key_claims.voters):
             return
@@ -149,36 +151,36 @@
 
     def hear_contact(self, link: PeerConnection, told: InContact) -> None:
         """Whether a controller is in contact with a majority: else another is followed."""
-        self.following.set_in_contact(link.peer, told.in_contact)
+        self.selector.set_in_contact(link.peer, told.in_contact)
         self._follow()
 
     def _follow(self) -> None:
         """Hear tables and changes from one controller: the nearest there is."""
-        before = self.links.get(self.following.controller)
-        controller = self.following.choose(self.links, self._zones)
+        before = self.connections.get(self.selector.controller)
+        controller = self.selector.choose(self.connections, self._zones)
         if controller is None:
             return
         if before is not None:
             before.send(Follow(None))
         if controller:
-            self.links[controller].send(Follow(self.copy.digest))
+            self.connections[controller].send(Follow(self.copy.digest))
 
     def hear_digest(self, link: PeerConnection, told: Digest) -> None:
         """What a controller may tell has this digest."""
-        if self.following.on_digest(self._context.now(), link.peer, told.digest, self.copy.digest):
+        if self.selector.on_digest(self._context.now(), link.peer, told.digest, self.copy.digest):
             # The one that is followed tells it in answer to `Follow`: what is lacking has to be asked for.
             # But who has nothing yet is told all.
-            known = link.peer == self.following.controller and self.copy.digest
+            known = link.peer == self.selector.controller and self.copy.digest
             self._context.loop.call_later(0.0 if known else PULL_DELAY_S, self._pull_if_lacking, link)
 
     def _pull_if_lacking(self, link: PeerConnection) -> None:
         """Ask a controller for what it has and this sidecar has not, if that did not come by itself."""
         if not link.open:
             return
-        followed = self.links.get(self.following.controller)
+        followed = self.connections.get(self.selector.controller)
         tells = followed is not None and (followed is not link or not self.copy.digest)
         heard_at = followed.last_received_at if followed is not None and tells else 0.0
-        lacking = self.following.should_pull(self._context.now(), link.peer, self.copy.digest, heard_at)
+        lacking = self.selector.should_pull(self._context.now(), link.peer, self.copy.digest, heard_at)
         if lacking is None:
             self._context.loop.call_later(PULL_DELAY_S, self._pull_if_lacking, link)
         elif lacking:
@@ -198,7 +200,7 @@
         tells each record, and no digest after its first."""
         if not link.open:
             return
-        if link.peer == self.following.controller:
+        if link.peer == self.selector.controller:
             self._comparison.on_disconnect(link.peer)
             return
         lacking = self._comparison.should_pull(self._context.now(), link.peer, self.records_digest())
@@ -207,18 +209,18 @@
         elif lacking:
             link.send(PullRecords())
 
-    def hear_items(self, link: PeerConnection, told: Items) -> None:
+    def on_items(self, link: PeerConnection, told: Items) -> None:
         """Items that are news, or all."""
         if not matches_checksum(told.items, told.checksum):
             logger.warning("items that are not those that were sent are dropped and asked for anew")
             self._context.loop.call_later(PULL_TIMEOUT_S, self._pull, link)
             return
-        self.take_items(told.items)
+        self.apply_items(told.items)
         link.send(ItemsReceived(told.number))
 
-    def take_items(self, items: Iterable[Item]) -> None:
+    def apply_items(self, items: Iterable[Item]) -> None:
         """Merge items, and swap the table where they are news."""
-        self.following.on_pull_answered()
+        self.selector.on_pull_answered()
         if not self.copy.merge(items):
             return
         self.table, wrong = configuration.build_table(self.copy.items)
--- a/mesh/proxy/directory.py
+++ b/mesh/proxy/directory.py
@@ -30,7 +30,7 @@
     def __init__(self, context: ProxyContext, hear: MessageHandler) -> None:
         self._context, self._hear = context, hear
         self.endpoints: dict[str, Endpoint] = {}  # by node
-        self.links: dict[str, PeerConnection] = {}  # by node
+        self.connections: dict[str, PeerConnection] = {}  # by node
         self.records: dict[str, SidecarRecord] = {}  # by node
         self.digest = RecordsDigest()  # of those records
         self.most_sidecars = 0  # that were known at any time
@@ -40,7 +40,7 @@
         self._timer: asyncio.TimerHandle | None = None
         settings = context.settings
         self._failure_detector = FailureDetector(
-            context.loop, context.me, settings.peer_address.text, settings.zone, self._found_dead
+            context.loop, context.node_name, settings.peer_address.text, settings.zone, self._found_dead
         )
 
     def start(self) -> None:
@@ -83,13 +83,13 @@
 
     def usable(self, endpoint: Endpoint) -> bool:
         """Whether requests can be sent there now."""
-        reached = endpoint.node in self.links or endpoint.node == self._context.me
+        reached = endpoint.node in self.connections or endpoint.node == self._context.node_name
         return reached and bool(endpoint.instance) and not endpoint.draining
 
-    def take_all(self, records: Iterable[SidecarRecord]) -> None:
+    def apply_records(self, records: Iterable[SidecarRecord]) -> None:
         """What other sidecars tell of themselves."""
         for record in records:
-            if record.node != self._context.me:
+            if record.node != self._context.node_name:
                 self.take(record)
 
     def take(self, record: SidecarRecord) -> None:
@@ -102,9 +102,9 @@
         self.most_sidecars = max(self.most_sidecars, len(self.records))
         endpoint = self._endpoint_of(record)
         endpoint.zone = record.zone
-        self._failure_detector.knows(record.node, record.zone, record.address)
+        self._failure_detector.update_member(record.node, record.zone, record.address)
         if endpoint.instance != record.instance:
-            endpoint.renew()
+            endpoint.reset()
         endpoint.instance, endpoint.slots = record.instance, record.slots
         endpoint.draining = not record.is_open
         endpoint.version = record.version
@@ -132,7 +132,7 @@
         subset = self._subsets.get(service)
         if subset is None:
             context = self._context
-            subset = self._subsets[service] = Subset(context.me, context.settings.zone, context.now())
+            subset = self._subsets[service] = Subset(context.node_name, context.settings.zone, context.now())
         return subset
 
     def lost_sight(self, node: str, life: int) -> None:
@@ -140,14 +140,14 @@
         either, it is forgotten."""
         record = self.records.get(node)
         same_life = record is not None and record.incarnation == life
-        if node != self._context.me and same_life and node not in self.links:
+        if node != self._context.node_name and same_life and node not in self.connections:
             self._drop(node)
 
     def _drop(self, node: str) -> None:
         endpoint = self.endpoints.pop(node, None)
         self.records.pop(node, None)
         self.digest.remove(node)
-        self._failure_detector.forgets(node)
+        self._failure_detector.remove_member(node)
         if endpoint is not None:
             self._subsets[endpoint.service].remove(endpoint)
         self._stop_dial(node)
@@ -159,13 +159,13 @@
         subset.choose(self._context.now(), self._reached)
         for endpoint in subset.chosen:
             endpoint.needed_at = self._context.now()
-            if endpoint.node != self._context.me and endpoint.node not in self._dials:
+            if endpoint.node != self._context.node_name and endpoint.node not in self._dials:
                 self._dial(endpoint)
 
     def _reached(self, endpoint: Endpoint) -> bool:
         """Whether requests can be sent to a server, or soon can: those that have not been reached for a while
         have others beside them."""
-        linked = endpoint.node in self.links or endpoint.node == self._context.me
+        linked = endpoint.node in self.connections or endpoint.node == self._context.node_name
         return linked or endpoint.node not in self._dials or self._context.now() < endpoint.lost_at + REACH_S
 
     def _look(self) -> None:
@@ -180,7 +180,7 @@
         now = self._context.now()
         for node in list(self._dials):
             endpoint = self.endpoints[node]
-            if not endpoint.inflight and now >= endpoint.needed_at + LINGER_S:
+            if not endpoint.in_flight and now >= endpoint.needed_at + LINGER_S:
                 self._stop_dial(node)
 
     def _dial(self, endpoint: Endpoint) -> None:
@@ -203,19 +203,19 @@
     def connected(self, node: str, link: PeerConnection) -> None:
         """A connection to a sidecar has been made."""
         link.peer = node
-        self.links[node] = link
+        self.connections[node] = link
 
     def disconnected(self, node: str, link: PeerConnection) -> None:
         """A connection to a sidecar has ended."""
-        if self.links.get(node) is link:
-            del self.links[node]
+        if self.connections.get(node) is link:
+            del self.connections[node]
             if node in self.endpoints:
                 self.endpoints[node].lost_at = self._context.now()
         self.on_link_lost(node)
 
     def _found_dead(self, node: str) -> None:
         """Others say as well that a sidecar is dead: nothing is sent there until it is reached anew."""
-        link = self.links.get(node)
+        link = self.connections.get(node)
         if link is not None:
             logger.info("given up by the failure detector", sidecar=node)
             link.abort()
--- a/mesh/proxy/endpoints.py
+++ b/mesh/proxy/endpoints.py
@@ -18,8 +18,10 @@
     1.1  # times as long that an answer from another zone counts for: a small one is worth the way
 )
 FAILING_WEIGHT = 8.0  # times as slow that a server counts for which fails all its calls, and one more
-MOST_KINDS = 64  # kinds of calls whose times are kept for one server
-FRESH_S = 0.02  # what was told of a server's load counts for so long: beyond, others have taken what was free
+MAX_ROUTES = 64  # kinds of calls whose times are kept for one server
+MAX_REPORT_AGE_S = (
+    0.02  # what was told of a server's load counts for so long: beyond, others have taken what was free
+)
 
 
 class Endpoint:
@@ -33,12 +35,12 @@
         "zone",
         "slots",
         "draining",
-        "inflight",
+        "in_flight",
         "latency",
         "closed_until",
         "cold_until",
         "room",
-        "work_s",
+        "service_times_s",
         "free_at",
         "reported_at",
         "version",
@@ -53,12 +55,14 @@
         self.instance = self.zone = ""
         self.slots = 1
         self.draining = False
-        self.inflight = 0  # own calls
+        self.in_flight = 0  # own calls
         self.latency = 0.0
         self.closed_until = 0.0  # its sidecar has said that it takes nothing until then
         self.cold_until = 0.0
         self.room = 1
-        self.work_s: dict[str, float] = {}  # by kind of call: what its sidecar told that it takes, of late
+        self.service_times_s: dict[
+            str, float
+        ] = {}  # by kind of call: what its sidecar told that it takes, of late
         self.free_at = 0.0  # when a call sent now would go, as its sidecar told
         self.reported_at = -1.0  # when its sidecar told that
         self.failing = 0.0  # part of calls that fail there of late, as its sidecar told
@@ -66,33 +70,35 @@
         self.lost_at = 0.0  # since when there is no connection, where there is none
         self.needed_at = 0.0  # when it was last in the subset that connections are kept to
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Another process serves there: nothing learned of the old one holds."""
         self.latency = self.closed_until = self.free_at = 0.0
         self.reported_at, self.failing = -1.0, 0.0
-        self.work_s.clear()
+        self.service_times_s.clear()
 
-    def reported(self, now: float, kind: str, wait: float, work_s: float, failing: float = 0.0) -> None:
+    def record_load(
+        self, now: float, kind: str, wait: float, service_times_s: float, failing: float = 0.0
+    ) -> None:
         """Its sidecar has told how long a call waits there, and what one of this kind takes, in seconds; and
         which part of calls fails there of late."""
         self.free_at, self.reported_at, self.failing = now + wait, now, failing
-        if work_s > 0 and (kind in self.work_s or len(self.work_s) < MOST_KINDS):
-            self.work_s[kind] = work_s
+        if service_times_s > 0 and (kind in self.service_times_s or len(self.service_times_s) < MAX_ROUTES):
+            self.service_times_s[kind] = service_times_s
 
-    def answered(self, took: float) -> None:
+    def record_latency(self, took: float) -> None:
         """One call was served."""
         self.latency = took if not self.latency else self.latency + (took - self.latency) * GAIN
 
-    def expects(self, now: float, kind: str) -> float:
+    def expected_latency(self, now: float, kind: str) -> float:
         """Seconds to an answer: what is left of the wait told last, and what a call of this kind takes. All
         callers of a server learn of its pace with any answer, not from their own few calls of all kinds. A
         server that fails part of its calls counts as the slower for it: what fails has to be done again, if
         it may be, or is lost."""
-        time = max(0.0, self.free_at - now) + self.work_s.get(kind, self.latency)
+        time = max(0.0, self.free_at - now) + self.service_times_s.get(kind, self.latency)
         return time * (1.0 + FAILING_WEIGHT * self.failing)
 
 
-def draw(
+def sample_candidates(
     now: float,
     endpoints: Sequence[Endpoint],
     tried: Iterable[Endpoint],
@@ -139,9 +145,9 @@
     return found
 
 
-def fresh(now: float, endpoints: Iterable[Endpoint]) -> bool:
+def have_recent_reports(now: float, endpoints: Iterable[Endpoint]) -> bool:
     """Whether the sidecars beside all of them have told lately what can be had there."""
-    return all(now - endpoint.reported_at <= FRESH_S for endpoint in endpoints)
+    return all(now - endpoint.reported_at <= MAX_REPORT_AGE_S for endpoint in endpoints)
 
 
 class OwnZonePreference(NamedTuple):
@@ -151,7 +157,7 @@
     part: float = 0.0  # of the time to its answer, besides what it counts for in any case
 
 
-def best(
+def least_loaded(
     now: float,
     endpoints: Sequence[Endpoint],
     zone: str,
@@ -165,10 +171,10 @@
 
     def rank(endpoint: Endpoint) -> tuple[int, float, bool]:
         far = endpoint.zone != zone
-        time = (endpoint.expects(now, kind) + carries.get(endpoint.node, 0.0)) * (
+        time = (endpoint.expected_latency(now, kind) + carries.get(endpoint.node, 0.0)) * (
             OTHER_ZONE_WEIGHT + near.part if far else 1.0
         )
-        return (0 if told else endpoint.inflight + far * near.calls), time, far
+        return (0 if told else endpoint.in_flight + far * near.calls), time, far
 
-    told = [endpoint for endpoint in endpoints if now - endpoint.reported_at <= FRESH_S]
+    told = [endpoint for endpoint in endpoints if now - endpoint.reported_at <= MAX_REPORT_AGE_S]
     return min(told or endpoints, key=rank)
--- a/mesh/proxy/failure_detector.py
+++ b/mesh/proxy/failure_detector.py
@@ -77,13 +77,13 @@
         """Say that this sidecar leaves."""
         self._part.stop()
 
-    def knows(self, name: str, zone: str, address: str) -> None:
+    def update_member(self, name: str, zone: str, address: str) -> None:
         """A sidecar is there, or elsewhere than before."""
         if self._members.get(name) != (zone, address):
             self._members[name] = (zone, address)
             self._later()
 
-    def forgets(self, name: str) -> None:
+    def remove_member(self, name: str) -> None:
         """A sidecar is gone for good."""
         if name != self._name and self._members.pop(name, None) is not None:
             self._later()
--- a/mesh/proxy/forwarder.py
+++ b/mesh/proxy/forwarder.py
@@ -8,7 +8,7 @@
 
 from hollyport.http import heads
 from hollyport.http.message import Message as Request
-from mesh.errors import ANSWERS, PROMISES, ErrorKind
+from mesh.errors import ERROR_RESPONSES, NOT_EXECUTED_ERRORS, ErrorKind
 from mesh.proxy.chunked_transfer import MAX_CHUNK_BYTES
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.directory import Directory
@@ -78,8 +78,8 @@
         self._context, self._directory = context, directory
         self._picker, self._local = picker, local
         picker.offer, picker.no_server = self._offer, self._no_server
-        directory.on_link_lost = self._link_lost
-        self.offers: dict[int, Offer] = {}  # by number
+        directory.on_link_lost = self._on_connection_lost
+        self.attempts: dict[int, Offer] = {}  # by number
         self._budgets: dict[str, RetryBudget] = {}  # by service
         self.counts = RequestCounts()
 
@@ -92,7 +92,7 @@
         self._budget(request.service).record_request(now)
         self._context.open_requests += 1
         wait_s = max(0.0, request.deadline - now - NETWORK_MARGIN_S)
-        request.timer = self._context.loop.call_later(wait_s, self.time_is_up, request)
+        request.timer = self._context.loop.call_later(wait_s, self.on_deadline, request)
         self._picker.pick(request)
 
     def _budget(self, service: str) -> RetryBudget:
@@ -110,20 +110,20 @@
 
     def _no_server(self, request: PendingRequest) -> None:
         if not request.open_offers:
-            self._end(request, ErrorKind.BROKEN if request.may_have_run else ErrorKind.NO_SERVER)
+            self._fail(request, ErrorKind.BROKEN if request.may_have_run else ErrorKind.NO_SERVER)
 
-    def time_is_up(self, request: PendingRequest) -> None:
+    def on_deadline(self, request: PendingRequest) -> None:
         """It has not run where nobody was offered it whole."""
-        unsent = all(offer.incomplete for offer in self.offers.values() if offer.request is request)
+        unsent = all(offer.incomplete for offer in self.attempts.values() if offer.request is request)
         promise = unsent and not request.may_have_run
-        self._end(request, ErrorKind.REFUSED if promise else ErrorKind.LATE)
+        self._fail(request, ErrorKind.REFUSED if promise else ErrorKind.LATE)
 
-    def end_all(self) -> None:
+    def fail_all(self) -> None:
         """Answer all that is open, as this process ends: with a promise where nothing can have run."""
-        for request in [*self._picker.waiting, *(offer.request for offer in self.offers.values())]:
-            self.time_is_up(request)
+        for request in [*self._picker.waiting, *(offer.request for offer in self.attempts.values())]:
+            self.on_deadline(request)
 
-    def _end(self, request: PendingRequest, error: ErrorKind) -> None:
+    def _fail(self, request: PendingRequest, error: ErrorKind) -> None:
         if request.finished:
             return
         self._finish(request)
@@ -138,9 +138,9 @@
     ) -> None:
         """Answer a request with an error of this system; a promise tells when to come back."""
         self.counts.failed(route, error)
-        answer = ANSWERS[error]
+        answer = ERROR_RESPONSES[error]
         headers = []
-        if answer.promise:
+        if answer.not_executed:
             headers = [(b"Retry-After", b"%.3f" % (aim_s * (0.2 + 0.4 * self._context.random())))]
         message.answer(answer.status, answer.text, headers)
 
@@ -151,17 +151,17 @@
         self.counts.offered(request.service, not request.tried)
         request.tried.append(endpoint)
         request.open_offers += 1
-        endpoint.inflight += 1
-        number, local = self._context.fresh(), endpoint.node == self._context.me
-        offer = self.offers[number] = Offer(request, endpoint)
+        endpoint.in_flight += 1
+        number, local = self._context.next_number(), endpoint.node == self._context.node_name
+        offer = self.attempts[number] = Offer(request, endpoint)
         body = request.message.body
         if not local and endpoint.version >= CHUNKS_VERSION and len(body) > self._local.inline_limit:
             offer.body = body
         call = self._call(request, offer)
         if local:
-            self._local.run_local(number, call, self.hear_answer, lambda: self.hear_overdue(number))
+            self._local.run_local(number, call, self.finish_attempt, lambda: self.hedge_attempt(number))
         else:
-            link = self._directory.links[endpoint.node]
+            link = self._directory.connections[endpoint.node]
             link.expect_answers(1)
             link.send(Forward(number, call))
 
@@ -188,24 +188,24 @@
             priority=request.route.priority,
         )
 
-    def hear_answer(self, told: ForwardAnswer) -> None:
+    def finish_attempt(self, told: ForwardAnswer) -> None:
         """What became of a request at the sidecar beside a server."""
-        offer = self.offers.pop(told.number, None)
+        offer = self.attempts.pop(told.number, None)
         if offer is None:
             return
         request, endpoint, now = offer.request, offer.endpoint, self._context.now()
-        link = self._directory.links.get(endpoint.node)
+        link = self._directory.connections.get(endpoint.node)
         if link is not None:
             link.expect_answers(-1)
-        endpoint.inflight -= 1
+        endpoint.in_flight -= 1
         request.open_offers -= 1
-        endpoint.reported(now, request.route.name, told.wait_s, told.work_s, told.failure_rate)
+        endpoint.record_load(now, request.route.name, told.wait_s, told.work_s, told.failure_rate)
         if told.wait_s:
             endpoint.closed_until = now + min(told.wait_s, MOST_CLOSED_S)
         if told.error:
             self._failed(now, request, endpoint, told)
             return
-        endpoint.answered(now - request.started_at)
+        endpoint.record_latency(now - request.started_at)
         if request.finished:
             return
         self._picker.note_size(request.route.name, len(told.body))
@@ -217,31 +217,31 @@
         """One server has not answered a request: another may, if it may run again and there is time."""
         error = ErrorKind(told.error)
         request.arrivals += told.arrived
-        if error in PROMISES:
+        if error in NOT_EXECUTED_ERRORS:
             endpoint.closed_until = max(endpoint.closed_until, now + LEAST_CLOSED_S)
         elif error != ErrorKind.AT_WORK:
             request.may_have_run = True
         if request.finished:
             return
-        if self._goes_on(now, request, error) and self._may_retry(now, request):
+        if self._may_try_another(now, request, error) and self._may_retry(now, request):
             self._picker.pick(request)
         elif not request.open_offers:  # else another offer of it may still be answered
-            doubt = request.may_have_run and error in PROMISES
-            self._end(request, ErrorKind.BROKEN if doubt else error)
+            doubt = request.may_have_run and error in NOT_EXECUTED_ERRORS
+            self._fail(request, ErrorKind.BROKEN if doubt else error)
 
     @staticmethod
-    def _goes_on(now: float, request: PendingRequest, error: ErrorKind) -> bool:
+    def _may_try_another(now: float, request: PendingRequest, error: ErrorKind) -> bool:
         """Whether another server may be offered a request after this error."""
         attempts = request.route.max_attempts
-        harmless = error in PROMISES or (request.repeatable and error == ErrorKind.BROKEN)
+        harmless = error in NOT_EXECUTED_ERRORS or (request.repeatable and error == ErrorKind.BROKEN)
         left = len(request.tried) < max(MOST_OFFERS, attempts) and request.arrivals < attempts
         early = error == ErrorKind.BROKEN or now < request.offered_until
         return harmless and left and early and now < request.deadline - NETWORK_MARGIN_S
 
-    def hear_overdue(self, number: int) -> None:
+    def hedge_attempt(self, number: int) -> None:
         """A server takes unusually long: what may run twice is sent to another as well, within the budget for
         second servers. The first to answer counts, and nothing is broken off."""
-        offer = self.offers.get(number)
+        offer = self.attempts.get(number)
         if offer is None:
             return
         request, now = offer.request, self._context.now()
@@ -253,7 +253,7 @@
 
     # --- clients and sidecars that go away
 
-    def client_left(self, message: Request) -> None:
+    def on_client_disconnected(self, message: Request) -> None:
         """Nothing of its request is sent to a server any more, and one that may run twice is broken off
         there. What may not, and may have begun, runs on; so does an operation with a key, whose answer is
         kept for its repeat."""
@@ -264,40 +264,40 @@
         self.counts.client_left(request.route.name)
         if request.route.variant == "idempotent":
             return
-        for number, offer in list(self.offers.items()):
+        for number, offer in list(self.attempts.items()):
             if offer.request is request:
                 self._cancel(number, offer.endpoint)
 
     def _request_of(self, message: Request) -> PendingRequest | None:
         """The open request of a client's message."""
-        requests = [*(offer.request for offer in self.offers.values()), *self._picker.waiting]
+        requests = [*(offer.request for offer in self.attempts.values()), *self._picker.waiting]
         return next((request for request in requests if request.message is message), None)
 
     def _cancel(self, number: int, endpoint: Endpoint) -> None:
         """Tell the sidecar beside a server that nobody waits for a call any more; it answers all the same."""
-        link = self._directory.links.get(endpoint.node)
-        if endpoint.node == self._context.me:
+        link = self._directory.connections.get(endpoint.node)
+        if endpoint.node == self._context.node_name:
             self._local.withdraw_local(number)
         elif link is not None:
             link.send(Cancel(number))
 
-    def _link_lost(self, node: str) -> None:
+    def _on_connection_lost(self, node: str) -> None:
         """The sidecar beside a server can't answer any more what it was offered."""
-        for number, offer in list(self.offers.items()):
+        for number, offer in list(self.attempts.items()):
             if offer.endpoint.node == node:
                 error = ErrorKind.LEAVING if offer.incomplete else ErrorKind.BROKEN
-                self.hear_answer(ForwardAnswer.failed(number, error, arrived=not offer.incomplete))
+                self.finish_attempt(ForwardAnswer.failed(number, error, arrived=not offer.incomplete))
         self._picker.link_lost(node)
 
     # --- messages
 
     def send_body(self, link: PeerConnection, asked: SendBody) -> None:
         """The sidecar beside a server takes more of a body."""
-        number, offer = asked.number, self.offers.get(asked.number)
+        number, offer = asked.number, self.attempts.get(asked.number)
         if offer is None or not offer.body:
             return
         if offer.request.finished:  # its client has its answer or has left: what is not there whole can't run
-            self.hear_answer(ForwardAnswer.failed(number, ErrorKind.LEAVING))
+            self.finish_attempt(ForwardAnswer.failed(number, ErrorKind.LEAVING))
             link.send(BodyDropped(number))
             return
         while offer.sent < min(asked.end_offset, len(offer.body)):
@@ -307,11 +307,11 @@
 
     def on_answer(self, link: PeerConnection, told: ForwardAnswer) -> None:
         """The sidecar beside a server answers."""
-        self.hear_answer(told)
+        self.finish_attempt(told)
 
     def on_overdue(self, link: PeerConnection, told: Overdue) -> None:
         """The sidecar beside a server tells that a call takes unusually long."""
-        self.hear_overdue(told.number)
+        self.hedge_attempt(told.number)
 
     def on_report(self, link: PeerConnection, told: LoadReport) -> None:
         """A sidecar tells how a call would fare at its server."""
--- a/mesh/proxy/ingress.py
+++ b/mesh/proxy/ingress.py
@@ -34,7 +34,7 @@
     def serve(self, message: Request) -> None:
         """Handles a request of a client or of the local server."""
         forwarder = self._forwarder
-        if self._context.closed:
+        if self._context.rejecting_requests:
             forwarder.answer_error(message, ErrorKind.LEAVING, LEAVING_RETRY_DELAY_S)
             return
         route = self._route(message)
@@ -67,7 +67,7 @@
         if len(message.body) > self._control.table.limits.max_body_bytes:
             return Error(ErrorKind.TOO_LARGE)
         now = self._context.now()
-        remaining_s = min(remaining_s, self._context.ends_at - now)
+        remaining_s = min(remaining_s, self._context.shutdown_deadline - now)
         return Ok(
             PendingRequest(
                 message=message,
--- a/mesh/proxy/picker.py
+++ b/mesh/proxy/picker.py
@@ -9,7 +9,13 @@
 
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.directory import Directory
-from mesh.proxy.endpoints import Endpoint, OwnZonePreference, best, draw, fresh
+from mesh.proxy.endpoints import (
+    Endpoint,
+    OwnZonePreference,
+    have_recent_reports,
+    least_loaded,
+    sample_candidates,
+)
 from mesh.proxy.pending_request import PendingRequest
 from mesh.transport.messages import LoadQuery, LoadReport
 
@@ -74,15 +80,17 @@
             self._directory.widen(request.service)
         if not drawn:
             self.no_server(request)
-        elif len(drawn) > 1 and not fresh(now, drawn) and self._worth_asking(drawn, kind):
+        elif len(drawn) > 1 and not have_recent_reports(now, drawn) and self._worth_asking(drawn, kind):
             self._ask(now, request, drawn)
         else:
-            self.offer(request, best(now, drawn, self._context.settings.zone, kind, near))
+            self.offer(request, least_loaded(now, drawn, self._context.settings.zone, kind, near))
 
     def _draw(self, now: float, request: PendingRequest, near: OwnZonePreference) -> list[Endpoint]:
         directory, context = self._directory, self._context
         endpoints, zone = directory.of_service(request.service), context.settings.zone
-        return draw(now, endpoints, request.tried, context.random, directory.usable, zone, near.calls > 0)
+        return sample_candidates(
+            now, endpoints, request.tried, context.random, directory.usable, zone, near.calls > 0
+        )
 
     def _near(self, request: PendingRequest) -> OwnZonePreference:
         """What another zone costs a request, by its size and its usual answer's."""
@@ -94,28 +102,31 @@
     def _worth_asking(self, drawn: list[Endpoint], kind: str) -> bool:
         if any(endpoint.version < ASKING_VERSION for endpoint in drawn):
             return False
-        return max(endpoint.work_s.get(kind, 0.0) for endpoint in drawn) >= WORTH_ASKING * self._asking_s
+        return (
+            max(endpoint.service_times_s.get(kind, 0.0) for endpoint in drawn)
+            >= WORTH_ASKING * self._asking_s
+        )
 
     # --- asking
 
     def _ask(self, now: float, request: PendingRequest, drawn: list[Endpoint]) -> None:
         """Ask the sidecars beside some servers how a call would fare there."""
         lookup = LoadLookup(request, drawn, now)
-        number = self._context.fresh()
+        number = self._context.next_number()
         kind, size = request.route.name, len(request.message.body)
         for endpoint in drawn:
-            if endpoint.node == self._context.me:
+            if endpoint.node == self._context.node_name:
                 self._take(now, kind, endpoint, self._local_report(number, kind, size))  # its body is here
             else:
                 lookup.unanswered += 1
-                self._directory.links[endpoint.node].send(LoadQuery(number, kind, size))
+                self._directory.connections[endpoint.node].send(LoadQuery(number, kind, size))
         self._lookups[number] = lookup
         limit_s = max(LEAST_ASKING_S, (request.target_at - now) * ASKING_PART)
         lookup.timer = self._context.loop.call_later(limit_s, self.asked_enough, number)
 
     @staticmethod
     def _take(now: float, kind: str, endpoint: Endpoint, report: LoadReport) -> None:
-        endpoint.reported(now, kind, report.wait_s, report.work_s, report.failure_rate)
+        endpoint.record_load(now, kind, report.wait_s, report.work_s, report.failure_rate)
         if not report.is_open:
             endpoint.closed_until = now + LEAST_CLOSED_S
 
@@ -169,4 +180,4 @@
             self.no_server(request)
             return
         zone, kind = self._context.settings.zone, request.route.name
-        self.offer(request, best(now, drawn, zone, kind, self._near(request), lookup.carries))
+        self.offer(request, least_loaded(now, drawn, zone, kind, self._near(request), lookup.carries))
--- a/mesh/proxy/request_counts.py
+++ b/mesh/proxy/request_counts.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from mesh.errors import ErrorKind
-from mesh.figures import Figure, LabelledCounts
+from mesh.figures import LabelledCounter, MetricFamily
 
 NO_ROUTE = ""  # label of requests that ended before a route was found
 CLIENT_LEFT = "client_left"
@@ -15,13 +15,13 @@
     """Counts the requests received by a sidecar, by outcome."""
 
     def __init__(self) -> None:
-        self._requests = LabelledCounts(
+        self._requests = LabelledCounter(
             "mesh_requests", "Requests that began here, by route and outcome.", ("route", "outcome")
         )
-        self._seconds = LabelledCounts(
+        self._seconds = LabelledCounter(
             "mesh_request_seconds", "Seconds from a request to the server's answer, added up.", ("route",)
         )
-        self._offers = LabelledCounts(
+        self._offers = LabelledCounter(
             "mesh_offers",
             "Offers to sidecars beside servers, by service and place in line.",
             ("service", "place"),
@@ -44,8 +44,8 @@
         """Counts an offer of a request to the sidecar of a server."""
         self._offers.add((service, "first" if first else "further"))
 
-    def metrics(self) -> Iterator[Figure]:
+    def metrics(self) -> Iterator[MetricFamily]:
         """Returns the metric families."""
-        yield self._requests.figure()
-        yield self._seconds.figure()
-        yield self._offers.figure()
+        yield self._requests.family()
+        yield self._seconds.family()
+        yield self._offers.family()
--- a/mesh/proxy/server_heartbeats.py
+++ b/mesh/proxy/server_heartbeats.py
@@ -11,10 +11,10 @@
 
 from dunefield.budget import MAX_STEPS
 from hollyport.http.message import Message as Request
-from mesh.errors import ANSWERS, ErrorKind
+from mesh.errors import ERROR_RESPONSES, ErrorKind
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.server_queue import ServerQueue
-from mesh.settings import seconds
+from mesh.settings import parse_duration
 from mesh.transport.messages import VERSION, SidecarRecord
 
 JSON = [(b"Content-Type", b"application/json")]
@@ -40,7 +40,7 @@
                 service=str(fields["service"]),
                 ready=str(fields.get("state", "ready")) == "ready",
                 slots=max(1, int(fields.get("slots", 1))),
-                warm_up_s=seconds(fields.get("cold_left", "0ms")),
+                warm_up_s=parse_duration(fields.get("cold_left", "0ms")),
                 call_number=int(fields.get("call_seq", 0)),
             )
         )
@@ -64,7 +64,7 @@
         path = message.target.partition(b"?")[0]
         has_instance = path.startswith(INSTANCES_PATH) and len(path) > len(INSTANCES_PATH)
         if not has_instance or message.method not in (b"PUT", b"DELETE"):
-            message.answer(ANSWERS[ErrorKind.NOT_HERE].status)
+            message.answer(ERROR_RESPONSES[ErrorKind.NOT_HERE].status)
             return
         instance = path[len(INSTANCES_PATH) :].decode("latin-1")
         error = None
@@ -73,7 +73,7 @@
         else:
             error = self._handle_heartbeat(instance, message.body)
         if error is not None:
-            message.answer(ANSWERS[error].status)
+            message.answer(ERROR_RESPONSES[error].status)
         else:
             message.answer(200, b"{}", JSON)
 
@@ -125,21 +125,21 @@
         """Returns the current record. Receivers recognise a repeated record by its number."""
         queue, context, settings = self._queue, self._context, self._context.settings
         return SidecarRecord(
-            node=context.me,
+            node=context.node_name,
             address=settings.peer_address.text,
             zone=settings.zone,
             service=settings.service,
             instance=queue.instance,
             slots=queue.slots,
-            is_open=queue.open and not context.leaving,
+            is_open=queue.open and not context.draining,
             warm_up_s=max(0.0, queue.warming_up_until - context.now()),
-            incarnation=context.life,
+            incarnation=context.incarnation,
             number=self._number,
             version=VERSION,
         )
 
     def ensure_newer_than(self, incarnation: int) -> None:
         """Raises the incarnation above one that is already known, as after the clock has stepped back."""
-        if incarnation >= self._context.life:
-            self._context.life = incarnation + 1
+        if incarnation >= self._context.incarnation:
+            self._context.incarnation = incarnation + 1
             self._on_change()
--- a/mesh/proxy/sidecar.py
+++ b/mesh/proxy/sidecar.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from hollyport.http.message import Message as Request
-from mesh.figures import Figure
+from mesh.figures import MetricFamily
 from mesh.proxy import sidecar_figures
 from mesh.proxy.call_runner import CallRunner
 from mesh.proxy.context import ProxyContext
@@ -48,10 +48,10 @@
         assert settings.app is not None
         self.context = context = ProxyContext(settings)
         self.server_queue = ServerQueue(context.loop, settings.app, MOST_SERVER_CONNECTIONS)
-        self.beats = ServerHeartbeats(context, self.server_queue, self._tell_record)
-        self.control = ControlClient(context, self.hear, self.beats.record)
+        self.heartbeats = ServerHeartbeats(context, self.server_queue, self._publish_record)
+        self.control = ControlClient(context, self.on_message, self.heartbeats.record)
         self.control.on_table = self._table_changed
-        self.directory = Directory(context, self.hear)
+        self.directory = Directory(context, self.on_message)
         self.control.records_digest = lambda: self.directory.digest.value
         self.calls = CallRunner(context, self.server_queue, self.control.key_claims)
         self.picker = Picker(context, self.directory, self.calls.load_report)
@@ -77,15 +77,15 @@
             messages.SendBody: forwarder.send_body,
             messages.Overdue: forwarder.on_overdue,
             messages.ClaimAnswer: control.key_claims.on_claim_answer,
-            messages.Items: control.hear_items,
+            messages.Items: control.on_items,
             messages.Digest: control.hear_digest,
             messages.RecordsDigest: control.hear_records_digest,
             messages.InContact: control.hear_contact,
             messages.Controllers: control.hear_controllers,
             messages.CurrentVoters: control.hear_voters,
-            messages.NewerLifeKnown: lambda link, told: self.beats.ensure_newer_than(told.incarnation),
-            messages.Endpoints: lambda link, told: directory.take_all(told.records),
-            messages.RecordChanged: lambda link, told: directory.take_all((told.record,)),
+            messages.NewerLifeKnown: lambda link, told: self.heartbeats.ensure_newer_than(told.incarnation),
+            messages.Endpoints: lambda link, told: directory.apply_records(told.records),
+            messages.RecordChanged: lambda link, told: directory.apply_records((told.record,)),
             messages.EndpointGone: lambda link, told: directory.lost_sight(told.node, told.incarnation),
         }
 
@@ -106,7 +106,7 @@
         """Whose disks count, as far as this sidecar has been told."""
         return self.control.key_claims.voters
 
-    def figures(self) -> Iterable[Figure]:
+    def metrics(self) -> Iterable[MetricFamily]:
         """What this process tells of itself."""
         return sidecar_figures.figures(
             self.context, self.control, self.directory, self.forwarder, self.server_queue
@@ -120,7 +120,7 @@
         assert settings.outbound and settings.ready and settings.control
         self._server = await connection.listen(
             settings.peer_address,
-            self.hear,
+            self.on_message,
             self._callers.add,
             self.caller_lost,
             connection.IDLE_PING_INTERVAL_S,
@@ -128,18 +128,21 @@
         self.directory.start()
         open_server, most = http_server.open_http_server, MOST_LOCAL_CALLERS
         self._outbound = await open_server(
-            settings.outbound, self.ingress.serve, self.forwarder.client_left, settings.max_fds // 2
+            settings.outbound,
+            self.ingress.serve,
+            self.forwarder.on_client_disconnected,
+            settings.max_fds // 2,
         )
-        await open_server(settings.control, self.beats.serve, None, most)
+        await open_server(settings.control, self.heartbeats.serve, None, most)
         await open_server(settings.ready, self.readiness, None, most)
-        record = self.beats.record()
+        record = self.heartbeats.record()
         self.directory.digest.update(
             record.node, record.incarnation, record.number
         )  # controllers will hold it
         self.control.start()
         logger.info("sidecar listens")
 
-    def resettle(self, settings: Settings) -> None:
+    def reload_settings(self, settings: Settings) -> None:
         """Take over what may change in service: seeds, bounds, limits. The rest needs a restart."""
         self.context.settings = settings
         self.control.start()
@@ -149,20 +152,22 @@
         context, grace_s = self.context, self.settings.bound("grace", 6.0)
         assert self._outbound is not None
         listener = self._outbound.listener
-        context.leaving = True
-        context.ends_at = context.now() + grace_s - LAST_ANSWERS_S
-        self._tell_record()
+        context.draining = True
+        context.shutdown_deadline = context.now() + grace_s - LAST_ANSWERS_S
+        self._publish_record()
         listener.last_requests()
         await asyncio.sleep(min(LEAVE_S, grace_s / 2))
         # Whoever still comes is told at once that nothing will run: what began later could not be answered.
-        context.closed = True
-        while (context.open_requests or context.open_calls) and context.now() < context.ends_at:
+        context.rejecting_requests = True
+        while (context.open_requests or context.open_calls) and context.now() < context.shutdown_deadline:
             await asyncio.sleep(LOOK_S)
-        self.forwarder.end_all()
+        self.forwarder.fail_all()
         self.directory.stop()
         listener.shut()
         listener.empty()
-        while (context.open_requests or listener.busy()) and context.now() < context.ends_at + WRITE_S:
+        while (
+            context.open_requests or listener.busy()
+        ) and context.now() < context.shutdown_deadline + WRITE_S:
             await asyncio.sleep(WRITE_LOOK_S)
 
     def close(self) -> None:
@@ -178,11 +183,11 @@
             message.answer(404)
             return
         serves = bool(self.control.table.routes_by_host) and self.directory.any_known
-        message.answer(200 if serves and not self.context.leaving else 503)
+        message.answer(200 if serves and not self.context.draining else 503)
 
     # --- news
 
-    def hear(self, link: PeerConnection, message: Message) -> None:
+    def on_message(self, link: PeerConnection, message: Message) -> None:
         """One message of another process."""
         handler = self._handlers.get(type(message))
         if handler is not None:
@@ -193,13 +198,13 @@
         self._callers.discard(link)
         self.calls.bodies.on_connection_lost(link)
 
-    def _tell_record(self) -> None:
+    def _publish_record(self) -> None:
         """Tell all that have to know what can be had here. Controllers tell it on; those that send calls here
         are told at once where nothing more is to be had, or where no controller is followed."""
-        record = self.beats.next_record()
+        record = self.heartbeats.next_record()
         self.directory.take(record)
         self.control.send(Register(record))
-        if not record.is_open or not self.control.following.controller:
+        if not record.is_open or not self.control.selector.controller:
             packed = pack(RecordChanged(record))
             for link in self._callers:
                 link.send_packed(packed)
@@ -212,7 +217,7 @@
             queue.update_limits(cluster.max_conns)
             if not queue.instance and not self._probed:
                 self._probed = True
-                queue.probe(cluster.health_path, self.beats.adopt_instance)
+                queue.probe(cluster.health_path, self.heartbeats.adopt_instance)
         if self._outbound is not None:
             limits = table.limits
             self._outbound.update_limits(
--- a/mesh/proxy/sidecar_figures.py
+++ b/mesh/proxy/sidecar_figures.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from mesh.figures import Figure, FigureKind, Labels, counter, gauge
+from mesh.figures import Labels, MetricFamily, MetricKind, counter, gauge
 from mesh.proxy.context import ProxyContext
 from mesh.proxy.control_client import ControlClient
 from mesh.proxy.directory import Directory
@@ -18,27 +18,27 @@
     directory: Directory,
     forwarder: Forwarder,
     queue: ServerQueue,
-) -> Iterator[Figure]:
+) -> Iterator[MetricFamily]:
     """All families of one sidecar."""
     yield from forwarder.counts.metrics()
     yield gauge("mesh_open_requests", "Requests that began here and have no answer.", context.open_requests)
     yield gauge("mesh_open_calls", "Calls for the server beside that have not ended.", context.open_calls)
-    yield gauge("mesh_leaving", "1 once this sidecar has been told to end.", context.leaving)
+    yield gauge("mesh_leaving", "1 once this sidecar has been told to end.", context.draining)
     yield from _server(queue)
     yield from _control(control)
     yield gauge("mesh_sidecars_known", "Sidecars with a record, this one too.", len(directory.records))
-    yield gauge("mesh_sidecars_linked", "Connections to other sidecars.", len(directory.links))
+    yield gauge("mesh_sidecars_linked", "Connections to other sidecars.", len(directory.connections))
 
 
-def _server(queue: ServerQueue) -> Iterator[Figure]:
+def _server(queue: ServerQueue) -> Iterator[MetricFamily]:
     """The server beside."""
     calls: dict[Labels, float] = {
         ("running",): float(queue.in_flight),
         ("waiting",): float(len(queue.queued)),
         ("late",): float(len(queue.late)),
     }
-    yield Figure(
-        "mesh_server_calls", "Calls at the server and in its queue.", FigureKind.GAUGE, calls, ("state",)
+    yield MetricFamily(
+        "mesh_server_calls", "Calls at the server and in its queue.", MetricKind.GAUGE, calls, ("state",)
     )
     yield gauge("mesh_server_open", "1 while the server takes calls.", queue.open)
     yield gauge("mesh_server_slots", "What the server says it serves together.", queue.slots)
@@ -47,11 +47,11 @@
     yield gauge("mesh_server_call_seconds", "What a call takes there of late.", queue.mean_service_s)
 
 
-def _control(control: ControlClient) -> Iterator[Figure]:
+def _control(control: ControlClient) -> Iterator[MetricFamily]:
     """The controllers and the configuration."""
     claims = control.key_claims
-    yield gauge("mesh_controllers_linked", "Connections to controllers.", len(control.links))
-    yield gauge("mesh_following", "1 while a controller is followed.", bool(control.following.controller))
+    yield gauge("mesh_controllers_linked", "Connections to controllers.", len(control.connections))
+    yield gauge("mesh_following", "1 while a controller is followed.", bool(control.selector.controller))
     yield gauge("mesh_items", "Items of the configuration in force here.", len(control.copy.items))
     yield gauge("mesh_voters_epoch", "The epoch of the voters whose grants count.", claims.voters.epoch)
     yield gauge("mesh_key_claims_open", "Claims of keys without a verdict.", len(claims.pending))
--- a/mesh/settings.py
+++ b/mesh/settings.py
@@ -34,7 +34,7 @@
         return f"{self.host}:{self.port}"
 
 
-def seconds(value: Any) -> float:
+def parse_duration(value: Any) -> float:
     """A time as text (`1500ms`, `2.5s`), in seconds; ValueError where it is none."""
     found = DURATION.fullmatch(value) if isinstance(value, str) else None
     if found is None:
@@ -107,7 +107,7 @@
             found[name] = float(figure == "true")
             continue
         try:
-            found[name] = seconds(figure)
+            found[name] = parse_duration(figure)
         except ValueError:
             found[name] = _number(float(figure))
     return found
@@ -123,7 +123,7 @@
     "first_start": Row(("first_start",), _flag, False),
     "counted": Row(("counted",), _flag, False),
     "data_dir": Row(("data_dir",), _text, ""),
-    "beat_s": Row(("beat",), seconds, 1.5),
+    "beat_s": Row(("beat",), parse_duration, 1.5),
     "bounds": Row(("bound_set",), _bounds, {}),
     "app": Row(("app_addr",), _address, ""),
     "service": Row(("service",), _text, ""),
--- a/mesh/state/configuration.py
+++ b/mesh/state/configuration.py
@@ -17,7 +17,7 @@
 from expression import Error, Ok, Result
 from pyrsistent import PMap, pmap
 
-from mesh.settings import seconds
+from mesh.settings import parse_duration
 
 REVISION_PATTERN = re.compile(r"r([0-9]{1,40})")
 MAX_TARGET_EXCESS_S = 60.0  # a target latency that exceeds the route's timeout by this much is a mistake
@@ -212,8 +212,8 @@
         return Limits(
             _parse_count(raw.get("max_header_bytes", 16384), 1),
             _parse_count(raw.get("max_body_bytes", 48 << 20), 1),
-            seconds(raw.get("header_timeout", "3s")),
-            seconds(raw.get("idle_timeout", "15s")),
+            parse_duration(raw.get("header_timeout", "3s")),
+            parse_duration(raw.get("idle_timeout", "15s")),
         )
     if item.name.startswith("service/"):
         health_path = raw.get("health_path", "/health")
@@ -246,8 +246,8 @@
         targets.append((service, total))
     if total <= 0:
         raise ValueError(f"{item.name}: its weights add up to 0")
-    timeout_s = seconds(effect.get("timeout"))
-    target_s = seconds(rule.get("target", effect["timeout"]))
+    timeout_s = parse_duration(effect.get("timeout"))
+    target_s = parse_duration(rule.get("target", effect["timeout"]))
     if target_s >= timeout_s + MAX_TARGET_EXCESS_S:
         raise ValueError(f"{item.name}: its target exceeds its time-out")
     return Route(
--- a/mesh/transport/connection.py
+++ b/mesh/transport/connection.py
@@ -18,7 +18,7 @@
 import cbor2
 from loguru import logger
 
-from mesh.figures import OTHER, Figure, FigureKind, Labels
+from mesh.figures import OTHER_LABEL, Labels, MetricFamily, MetricKind
 from mesh.settings import Address
 from mesh.transport.messages import KINDS, Message, Ping, Pong, decode, encode
 
@@ -53,17 +53,17 @@
         kind = _tag_of(data, 0)
         self._received[kind] = self._received.get(kind, 0) + len(data) + LENGTH_BYTES
 
-    def metrics(self) -> Iterator[Figure]:
+    def metrics(self) -> Iterator[MetricFamily]:
         """Returns the metric families."""
         values: dict[Labels, float] = {
-            (direction, KINDS[kind].__name__ if kind in KINDS else OTHER): float(size)
+            (direction, KINDS[kind].__name__ if kind in KINDS else OTHER_LABEL): float(size)
             for direction, counts in (("sent", self._sent), ("received", self._received))
             for kind, size in counts.items()
         }
-        yield Figure(
+        yield MetricFamily(
             "mesh_peer_bytes",
             "Bytes to and from other processes of the mesh.",
-            FigureKind.COUNTER,
+            MetricKind.COUNTER,
             values,
             ("direction", "kind"),
         )
--- a/mesh/transport/metrics_server.py
+++ b/mesh/transport/metrics_server.py
@@ -14,7 +14,7 @@
 from loguru import logger
 
 from hollyport.http.message import Message as Request
-from mesh.figures import Figure, FigureKind, counter, gauge
+from mesh.figures import MetricFamily, MetricKind, counter, gauge
 from mesh.settings import Address
 from mesh.transport.connection import traffic
 from mesh.transport.http_server import open_http_server
@@ -24,10 +24,10 @@
 
 CONTENT_TYPE = [(b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8")]
 MAX_CONNECTIONS = 8
-MetricsSource = Callable[[], Iterable[Figure]]
+MetricsSource = Callable[[], Iterable[MetricFamily]]
 
 
-def process_metrics() -> Iterator[Figure]:
+def process_metrics() -> Iterator[MetricFamily]:
     """Returns the metrics of every process: CPU time, memory, and traffic to other processes of the mesh."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     yield counter("mesh_process_cpu_seconds", "Processor time of this process.", time.process_time())
@@ -35,7 +35,7 @@
     yield from traffic.metrics()
 
 
-def render(metrics: Iterable[Figure]) -> bytes:
+def render(metrics: Iterable[MetricFamily]) -> bytes:
     """Renders metrics in the Prometheus text format."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
@@ -45,7 +45,7 @@
 
         def collect(self) -> Iterator[Metric]:
             for metric in metrics:
-                family_class = CounterMetricFamily if metric.kind is FigureKind.COUNTER else GaugeMetricFamily
+                family_class = CounterMetricFamily if metric.kind is MetricKind.COUNTER else GaugeMetricFamily
                 family = family_class(metric.name, metric.help, labels=metric.label_names)
                 for labels, value in metric.values.items():
                     family.add_metric(labels, value)
--- a/tests/mesh/calls_world.py
+++ b/tests/mesh/calls_world.py
@@ -240,10 +240,10 @@
         async def main() -> None:
             role = process.role = Sidecar(settings.read(SETTINGS.format(name=name, service=service)).ok)
             await role.start()
-            role.control.take_items(ITEMS)
+            role.control.apply_items(ITEMS)
             if service == "meals":
                 role.server_queue.update_server(f"i-{name}", 8, 0.0, True)
-            role.directory.take_all(self._record(other) for other in self.servers)
+            role.directory.apply_records(self._record(other) for other in self.servers)
 
         process.run(main())
 
--- a/tests/mesh/fake_machines.py
+++ b/tests/mesh/fake_machines.py
@@ -365,7 +365,7 @@
     """Stands in for the failure detector between sidecars, and does nothing."""
 
     def __init__(self, *told: Any) -> None:
-        self.start = self.stop = self.knows = self.forgets = lambda *told: None
+        self.start = self.stop = self.update_member = self.remove_member = lambda *told: None
 
 
 class Log:
--- a/tests/mesh/mesh_world.py
+++ b/tests/mesh/mesh_world.py
@@ -337,7 +337,7 @@
         for process in self.processes:
             if process.role is not None:
                 told = read_settings(process.host, self.seeds, False, **self._settings_options)
-                process.soon(lambda role=process.role, told=told: role.resettle(told))
+                process.soon(lambda role=process.role, told=told: role.reload_settings(told))
 
     def cut(self, name: str, for_s: float, others: Iterable[str] = ()) -> None:
         """Partitions a machine from others, by default all; data sent meanwhile arrives afterwards."""
--- a/tests/mesh/test_mesh_api.py
+++ b/tests/mesh/test_mesh_api.py
@@ -98,7 +98,7 @@
     sidecar = Sidecar(settings.read(SETTINGS).ok)
     return {
         ("controller", "control"): make_controller().api.serve,
-        ("sidecar", "control"): sidecar.beats.serve,
+        ("sidecar", "control"): sidecar.heartbeats.serve,
         ("sidecar", "ready"): sidecar.readiness,
     }
 
@@ -184,12 +184,12 @@
         assert (await ask(make_controller(()).api.serve, "get", "/-/readiness")).status == 503
         sidecar = Sidecar(settings.read(SETTINGS).ok)
         await ask(sidecar.readiness, "get", "/-/readiness")
-        sidecar.control.take_items(configuration.parse_change(json.dumps(CHANGE).encode()).ok)
-        await ask(sidecar.beats.serve, "put", instance, BEAT)
+        sidecar.control.apply_items(configuration.parse_change(json.dumps(CHANGE).encode()).ok)
+        await ask(sidecar.heartbeats.serve, "put", instance, BEAT)
         assert (await ask(sidecar.readiness, "get", "/-/readiness")).status == 200
-        await ask(sidecar.beats.serve, "put", instance, {**BEAT, "call_seq": 1})
-        await ask(sidecar.beats.serve, "put", instance, {**BEAT, "service": "other", "call_seq": 99})
-        await ask(sidecar.beats.serve, "delete", instance)
+        await ask(sidecar.heartbeats.serve, "put", instance, {**BEAT, "call_seq": 1})
+        await ask(sidecar.heartbeats.serve, "put", instance, {**BEAT, "service": "other", "call_seq": 99})
+        await ask(sidecar.heartbeats.serve, "delete", instance)
 
     asyncio.run(play())
     assert seen == {(path, method): set(map(int, op["responses"])) for path, method, op in OPERATIONS}
@@ -311,11 +311,11 @@
         for key in BEAT:
             sidecar = Sidecar(settings.read(SETTINGS).ok)
             body = {name: value for name, value in BEAT.items() if name != key}
-            response = await call(sidecar.beats.serve, "put", "/-/instances/i-1", body)
+            response = await call(sidecar.heartbeats.serve, "put", "/-/instances/i-1", body)
             assert response.status == (400 if key in schema["required"] else 200), key
         for state in schema["properties"]["state"]["enum"]:
             sidecar = Sidecar(settings.read(SETTINGS).ok)
-            await call(sidecar.beats.serve, "put", "/-/instances/i-1", {**BEAT, "state": state})
+            await call(sidecar.heartbeats.serve, "put", "/-/instances/i-1", {**BEAT, "state": state})
             assert sidecar.server_queue.open == (state == "ready")
 
     asyncio.run(play())
--- a/tests/mesh/test_mesh_budget.py
+++ b/tests/mesh/test_mesh_budget.py
@@ -5,7 +5,15 @@
 from hypothesis import strategies as st
 
 from dunefield.budget import MAX_STEPS, Budget
-from mesh.proxy.endpoints import FRESH_S, MOST_KINDS, Endpoint, OwnZonePreference, best, draw, fresh
+from mesh.proxy.endpoints import (
+    MAX_REPORT_AGE_S,
+    MAX_ROUTES,
+    Endpoint,
+    OwnZonePreference,
+    have_recent_reports,
+    least_loaded,
+    sample_candidates,
+)
 from mesh.proxy.retry_budget import RetryBudget
 
 MS = 1_000_000
@@ -205,7 +213,7 @@
     made = []
     for i, count in enumerate(inflight):
         endpoint = Endpoint(f"n{i}", "s")
-        endpoint.inflight = count
+        endpoint.in_flight = count
         made.append(endpoint)
     return made
 
@@ -230,8 +238,8 @@
 
 def choose(now, made, tried, random, usable, zone="", near=0, kind=""):
     """Draws endpoints and returns the best of them."""
-    drawn = draw(now, made, tried, random, usable, zone, near > 0)
-    return best(now, drawn, zone, kind, OwnZonePreference(near, near / 6)) if drawn else None
+    drawn = sample_candidates(now, made, tried, random, usable, zone, near > 0)
+    return least_loaded(now, drawn, zone, kind, OwnZonePreference(near, near / 6)) if drawn else None
 
 
 def test_the_less_loaded_of_the_two_drawn_endpoints_is_chosen():
@@ -243,10 +251,10 @@
 
 def test_a_tie_is_decided_by_latency():
     made = endpoints(1, 1)
-    made[0].answered(0.2)
-    made[1].answered(0.1)
+    made[0].record_latency(0.2)
+    made[1].record_latency(0.1)
     assert choose(0.0, made, (), random_source(0, 1, size=2), accept_all) is made[1]
-    made[1].answered(5.0)
+    made[1].record_latency(5.0)
     assert made[1].latency == pytest.approx(0.1 + 4.9 * 0.2)
     assert choose(0.0, made, (), random_source(0, 1, size=2), accept_all) is made[0]
 
@@ -259,26 +267,26 @@
         return choose(now, [near, far], (), random_source(0, 1, size=2), accept_all, "east", 0, "search").node
 
     assert taken(0.0) == "near", "no load is known: the nearer one"
-    near.reported(0.0, "search", 0.0, 0.30)
-    far.reported(0.0, "search", 0.0, 0.15)
+    near.record_load(0.0, "search", 0.0, 0.30)
+    far.record_load(0.0, "search", 0.0, 0.15)
     assert taken(0.0) == "far", "a slow server is not preferred for being near"
-    far.reported(0.0, "search", 0.0, 0.29)
+    far.record_load(0.0, "search", 0.0, 0.29)
     assert taken(0.0) == "near", "a negligible difference does not outweigh the distance"
-    far.reported(0.0, "search", 0.2, 0.15)
+    far.record_load(0.0, "search", 0.2, 0.15)
     assert taken(0.0) == "near", "the queueing time counts as well"
     assert taken(0.2) == "far", "until the queue has drained"
-    near.answered(0.9)
-    near.reported(0.2, "search", 0.0, 0.10)
+    near.record_latency(0.9)
+    near.record_load(0.2, "search", 0.0, 0.10)
     assert taken(0.2) == "near", "latencies of other kinds of calls are not considered"
-    near.renew()
-    assert near.expects(0.2, "search") == 0.0
+    near.reset()
+    assert near.expected_latency(0.2, "search") == 0.0
 
 
 def test_service_times_are_kept_for_a_bounded_number_of_kinds():
     endpoint = Endpoint("b", "s")
-    for number in range(10 * MOST_KINDS):
-        endpoint.reported(0.0, f"kind {number}", 0.0, 0.1)
-    assert len(endpoint.work_s) == MOST_KINDS
+    for number in range(10 * MAX_ROUTES):
+        endpoint.record_load(0.0, f"kind {number}", 0.0, 0.1)
+    assert len(endpoint.service_times_s) == MAX_ROUTES
 
 
 def test_a_closed_endpoint_is_skipped_until_its_time():
@@ -321,31 +329,39 @@
             0.0, [far, own, other], (), random_source(0, 2, 1, size=3), accept_all, "east", near
         ).node
 
-    own.inflight = 2
+    own.in_flight = 2
     assert taken(0) == "far" and taken(1) == "far" and taken(2) == "own"
     own.closed_until = 1.0
     assert taken(2) == "far"
-    own.closed_until, own.inflight = 0.0, 0
+    own.closed_until, own.in_flight = 0.0, 0
     assert taken(0) == "far" and taken(2) == "own", "only endpoints of the other zone were drawn"
 
 
 def test_a_fresh_load_report_takes_precedence_over_own_calls():
     made = endpoints(0, 3)
-    made[0].reported(1.0, "search", 0.4, 0.1)
-    made[1].reported(1.0, "search", 0.0, 0.2)
-    assert fresh(1.0, made) and best(1.0, made, "", "search") is made[1]
-    later = 1.0 + FRESH_S + 0.001
-    assert not fresh(later, made) and best(later, made, "", "search") is made[0], "the report is outdated"
-    made[1].reported(later, "search", 0.9, 0.2)
-    assert best(later, made, "", "search") is made[1], "an endpoint without a report is not preferred"
+    made[0].record_load(1.0, "search", 0.4, 0.1)
+    made[1].record_load(1.0, "search", 0.0, 0.2)
+    assert have_recent_reports(1.0, made) and least_loaded(1.0, made, "", "search") is made[1]
+    later = 1.0 + MAX_REPORT_AGE_S + 0.001
+    assert not have_recent_reports(later, made) and least_loaded(later, made, "", "search") is made[0], (
+        "the report is outdated"
+    )
+    made[1].record_load(later, "search", 0.9, 0.2)
+    assert least_loaded(later, made, "", "search") is made[1], "an endpoint without a report is not preferred"
 
 
 def test_the_transfer_time_of_a_large_body_counts():
     made = endpoints(0, 0)
     for endpoint in made:
         endpoint.zone = "east"
-        endpoint.reported(0.0, "upload", 0.0, 0.2)
-    assert best(0.0, made, "east", "upload", OwnZonePreference(), {"n0": 1.5, "n1": 0.1}) is made[1]
+        endpoint.record_load(0.0, "upload", 0.0, 0.2)
+    assert least_loaded(0.0, made, "east", "upload", OwnZonePreference(), {"n0": 1.5, "n1": 0.1}) is made[1]
     made[1].zone = "west"
-    assert best(0.0, made, "east", "upload", OwnZonePreference(3, 0.5), {"n0": 0.2, "n1": 0.1}) is made[0]
-    assert best(0.0, made, "east", "upload", OwnZonePreference(3, 0.5), {"n0": 0.4, "n1": 0.1}) is made[1]
+    assert (
+        least_loaded(0.0, made, "east", "upload", OwnZonePreference(3, 0.5), {"n0": 0.2, "n1": 0.1})
+        is made[0]
+    )
+    assert (
+        least_loaded(0.0, made, "east", "upload", OwnZonePreference(3, 0.5), {"n0": 0.4, "n1": 0.1})
+        is made[1]
+    )
--- a/tests/mesh/test_mesh_calls.py
+++ b/tests/mesh/test_mesh_calls.py
@@ -164,27 +164,27 @@
     """Calls on a lost connection are reported as not run."""
 
     def link_lost(forwarder: Forwarder, node: str) -> None:
-        for number, offer in list(forwarder.offers.items()):
+        for number, offer in list(forwarder.attempts.items()):
             if offer.endpoint.node == node:
-                forwarder.hear_answer(ForwardAnswer.failed(number, ErrorKind.LEAVING))
+                forwarder.finish_attempt(ForwardAnswer.failed(number, ErrorKind.LEAVING))
 
-    patch.setattr(Forwarder, "_link_lost", link_lost)
+    patch.setattr(Forwarder, "_on_connection_lost", link_lost)
 
 
 def retry_any_call(patch: pytest.MonkeyPatch) -> None:
     """Any call that may have run is sent to another server."""
-    plain = Forwarder._goes_on
+    plain = Forwarder._may_try_another
 
     def goes_on(now: float, request: object, error: ErrorKind) -> bool:
         return error == ErrorKind.BROKEN or plain(now, request, error)  # type: ignore[arg-type]
 
-    patch.setattr(Forwarder, "_goes_on", staticmethod(goes_on))
+    patch.setattr(Forwarder, "_may_try_another", staticmethod(goes_on))
 
 
 def ignore_lost_connections(patch: pytest.MonkeyPatch) -> None:
     """Lost connections are not noticed."""
-    patch.setattr(Forwarder, "_link_lost", lambda forwarder, node: None)
-    patch.setattr(Forwarder, "time_is_up", lambda forwarder, request: None)
+    patch.setattr(Forwarder, "_on_connection_lost", lambda forwarder, node: None)
+    patch.setattr(Forwarder, "on_deadline", lambda forwarder, request: None)
 
 
 @pytest.mark.parametrize("mutation", [report_lost_calls_as_not_run, retry_any_call, ignore_lost_connections])
--- a/tests/mesh/test_mesh_checksums.py
+++ b/tests/mesh/test_mesh_checksums.py
@@ -12,7 +12,7 @@
 from operator_calls import change, service
 from test_mesh_distribution import played as in_a_world
 from test_mesh_faults import claimed, until
-from test_mesh_sidecar import Link, played
+from test_mesh_sidecar import FakeConnection, with_sidecar
 
 from mesh.proxy import control_client
 from mesh.state.configuration import Item
@@ -60,20 +60,20 @@
     assert matches_checksum(other, None), "an older version sends no checksum"
 
 
-@played
-def _corrupted_items(scene):
+@with_sidecar
+def _corrupted_items(harness):
     scheduled = []
-    scene.sidecar.context.loop.call_later = lambda wait_s, *call: scheduled.append((wait_s, call))
-    link = Link("c1")
+    harness.sidecar.context.loop.call_later = lambda wait_s, *call: scheduled.append((wait_s, call))
+    link = FakeConnection("c1")
     item = Item("service/extra", 7, json.dumps({"name": "extra", "revision": "r7"}))
     corrupted = Items(1, (item,), checksum((item,)) ^ 1)
-    scene.sidecar.control.hear_items(link, corrupted)
-    assert "service/extra" not in scene.sidecar.items and not link.said, "neither merged nor acknowledged"
+    harness.sidecar.control.on_items(link, corrupted)
+    assert "service/extra" not in harness.sidecar.items and not link.sent, "neither merged nor acknowledged"
     ((wait_s, (pull, *told)),) = scheduled
     pull(*told)
-    assert wait_s == control_client.PULL_TIMEOUT_S and link.said[0][0] == kind_of(Pull)
-    scene.sidecar.control.hear_items(link, Items(2, (item,), checksum((item,))))
-    assert scene.sidecar.items["service/extra"] == item
+    assert wait_s == control_client.PULL_TIMEOUT_S and link.sent[0][0] == kind_of(Pull)
+    harness.sidecar.control.on_items(link, Items(2, (item,), checksum((item,))))
+    assert harness.sidecar.items["service/extra"] == item
 
 
 def test_a_sidecar_requests_corrupted_items_again():
--- a/tests/mesh/test_mesh_distribution.py
+++ b/tests/mesh/test_mesh_distribution.py
@@ -156,7 +156,7 @@
     Returns whether all sidecars have the change within 1.5 s.
     """
     await _ready(world)
-    name = world.machines[world.sidecars[0]].process.role.control.following.controller.partition(":")[0]
+    name = world.machines[world.sidecars[0]].process.role.control.selector.controller.partition(":")[0]
     world.freeze(name, 3.0)
     other = next(controller for controller in world.controllers if controller != name)
     status, _ = await world.ask(other, b"PATCH", change([service("berths", 2)]))
@@ -265,10 +265,10 @@
         await asyncio.sleep(2.0)
         told = _bytes_received(world, messages.Endpoints)
         world.machines[world.sidecars[0]].process.soon(
-            lambda: world.machines[world.sidecars[0]].process.role._tell_record()
+            lambda: world.machines[world.sidecars[0]].process.role._publish_record()
         )
         await asyncio.sleep(5.0)
-        record = world.machines[world.sidecars[0]].process.role.beats.record()
+        record = world.machines[world.sidecars[0]].process.role.heartbeats.record()
         size = len(pack(messages.Endpoints((record,))))
         assert len(told) == len(world.sidecars) and all(size <= one <= size + 8 for one in told.values())
 
@@ -282,7 +282,7 @@
     """
     await _ready(world)
     late, other, *_ = world.sidecars
-    followed = world.machines[other].process.role.control.following.controller.partition(":")[0]
+    followed = world.machines[other].process.role.control.selector.controller.partition(":")[0]
     world.kill(late)
     await asyncio.sleep(12.0)
     assert late not in _known_sidecars(world, other)
--- a/tests/mesh/test_mesh_figures.py
+++ b/tests/mesh/test_mesh_figures.py
@@ -15,11 +15,11 @@
 from plays import room
 from prometheus_client.parser import text_string_to_metric_families
 from test_mesh_api import ME, ResponseRecorder, make_controller
-from test_mesh_sidecar import Scene
+from test_mesh_sidecar import SidecarHarness
 
 from hollyport.http.message import Message
 from mesh.errors import ErrorKind
-from mesh.figures import MOST_SERIES, OTHER, LabelledCounts, gauge
+from mesh.figures import MAX_SERIES, OTHER_LABEL, LabelledCounter, gauge
 from mesh.transport.connection import Traffic, pack
 from mesh.transport.messages import ClaimAnswer, ClaimKey, Heartbeat
 from mesh.transport.metrics_server import parse_port_path, process_metrics, render
@@ -36,19 +36,19 @@
 
 
 def test_labels_that_others_choose_make_no_more_series_than_are_kept() -> None:
-    counts = LabelledCounts("requests", "by route", ("route", "outcome"))
+    counts = LabelledCounter("requests", "by route", ("route", "outcome"))
     for at in range(300_000):
         counts.add((f"route {at}", "full"))
-    values = counts.figure().values
-    assert len(values) == MOST_SERIES + 1 and sum(values.values()) == 300_000
-    assert values[OTHER, OTHER] == 300_000 - MOST_SERIES
+    values = counts.family().values
+    assert len(values) == MAX_SERIES + 1 and sum(values.values()) == 300_000
+    assert values[OTHER_LABEL, OTHER_LABEL] == 300_000 - MAX_SERIES
 
 
 def test_a_label_with_any_characters_is_read_back_as_it_was() -> None:
-    counts = LabelledCounts("requests", "by route", ("route",))
+    counts = LabelledCounter("requests", "by route", ("route",))
     odd = 'a"b\\c\nd\u20ac'
     counts.add((odd,))
-    assert told([counts.figure()])["requests_total", (("route", odd),)] == 1.0
+    assert told([counts.family()])["requests_total", (("route", odd),)] == 1.0
 
 
 def test_bytes_are_counted_by_kind_of_message() -> None:
@@ -60,24 +60,26 @@
     traffic.received(b"")
     values = {labels: size for figure in traffic.metrics() for labels, size in figure.values.items()}
     assert values["sent", "Heartbeat"] == len(small) and values["sent", "ClaimKey"] == len(wide)
-    assert values["received", "ClaimAnswer"] > 4 and values["received", OTHER] == 4
+    assert values["received", "ClaimAnswer"] > 4 and values["received", OTHER_LABEL] == 4
 
 
 def test_a_sidecar_tells_what_became_of_its_requests() -> None:
     async def play() -> None:
-        scene = Scene()
-        scene.ask("pure")
-        (first,) = scene.offers()
-        scene.end(first, ErrorKind.BROKEN)
-        second = next(offer for offer in scene.offers() if offer[1] != first[1])
-        scene.end(second)
-        scene.ask("effectful")
-        third = scene.offers()[-1]
-        scene.end(next(offer for offer in scene.offers() if offer not in (first, second)), ErrorKind.LATE)
+        harness = SidecarHarness()
+        harness.send_request("pure")
+        (first,) = harness.forwards()
+        harness.respond(first, ErrorKind.BROKEN)
+        second = next(offer for offer in harness.forwards() if offer[1] != first[1])
+        harness.respond(second)
+        harness.send_request("effectful")
+        third = harness.forwards()[-1]
+        harness.respond(
+            next(offer for offer in harness.forwards() if offer not in (first, second)), ErrorKind.LATE
+        )
         assert third
-        scene.ask(path="/other/x")
-        scene.ask(deadline=b"soon")
-        found = told(scene.sidecar.figures())
+        harness.send_request(path="/other/x")
+        harness.send_request(deadline=b"soon")
+        found = told(harness.sidecar.metrics())
 
         def requests(route: str, outcome: str) -> float:
             return found["mesh_requests_total", (("outcome", outcome), ("route", route))]
@@ -87,7 +89,7 @@
         assert found["mesh_offers_total", (("place", "further"), ("service", "meals"))] == 1.0
         assert found["mesh_offers_total", (("place", "first"), ("service", "meals"))] == 2.0
         assert found["mesh_sidecars_linked", ()] == 3.0 and found["mesh_open_requests", ()] == 0.0
-        scene.sidecar.close()
+        harness.sidecar.close()
 
     asyncio.run(play())
 
@@ -97,7 +99,7 @@
         made = make_controller((ME, "192.0.2.2:7000", "192.0.2.3:7000"))
         made.context.store.batches, made.context.store.errors = 3, 0
         made.api._refuse_change(Message(ResponseRecorder()), ErrorKind.INVALID, "no JSON")  # type: ignore[arg-type]
-        found = told(made.figures())
+        found = told(made.metrics())
         assert found["mesh_voters", ()] == 3.0 and found["mesh_voters_away", ()] == 2.0
         assert found["mesh_in_contact", ()] == 0.0 and found["mesh_losses_wanted", ()] == 1.0
         assert sum(value for (name, _), value in found.items() if name == "mesh_orders_total") == 1.0
--- a/tests/mesh/test_mesh_processes.py
+++ b/tests/mesh/test_mesh_processes.py
@@ -73,7 +73,7 @@
     played(tmp_path, play.kill_controller)  # changes are acknowledged and keys run without it
 
 
-def test_all_controllers_are_killed_and_come_back(tmp_path: Path) -> None:
+def test_all_controllers_are_killed_and_restart(tmp_path: Path) -> None:
     played(tmp_path, play.kill_controllers, lambda rig: rig.more(served=20, keyed=0, acked=0))
 
 
--- a/tests/mesh/test_mesh_rounds.py
+++ b/tests/mesh/test_mesh_rounds.py
@@ -88,7 +88,7 @@
 
     def __enter__(self) -> Round:
         super().__enter__()
-        claim, take = CallRunner.claim, ControlClient.take_items
+        claim, take = CallRunner.claim, ControlClient.apply_items
 
         @wraps(claim)
         def claimed(
@@ -118,11 +118,11 @@
             self._check_items(control, before)
 
         self._patch.setattr(CallRunner, "claim", claimed)
-        self._patch.setattr(ControlClient, "take_items", taken)
+        self._patch.setattr(ControlClient, "apply_items", taken)
         return self
 
     def _check_items(self, control: ControlClient, before: configuration.Items) -> None:
-        me, items = control._context.me, control.copy.items
+        me, items = control._context.node_name, control.copy.items
         for name, item in before.items():
             if items[name].version < item.version:
                 self.errors.append(f"{me} returned to an older version than {name} r{item.version}")
--- a/tests/mesh/test_mesh_rules.py
+++ b/tests/mesh/test_mesh_rules.py
@@ -8,7 +8,7 @@
 
 import pytest
 from test_mesh_api import BEAT, call
-from test_mesh_sidecar import SETTINGS, Link, Scene
+from test_mesh_sidecar import SETTINGS, FakeConnection, SidecarHarness
 
 from mesh import settings
 from mesh.errors import ErrorKind
@@ -38,30 +38,30 @@
 @in_event_loop
 @pytest.mark.parametrize(("deadline", "timeout_s"), [(b"800", 0.8), (b"60000", 0.9)])
 def test_a_request_is_answered_by_the_timeout_of_its_route_or_the_deadline_of_its_client(deadline, timeout_s):
-    scene = Scene()
-    response = scene.ask("effectful", deadline=deadline)
-    ((offer),) = scene.sidecar.forwarder.offers.values()
+    harness = SidecarHarness()
+    response = harness.send_request("effectful", deadline=deadline)
+    ((offer),) = harness.sidecar.forwarder.attempts.values()
     timer = offer.request.timer
     assert timer.when() - offer.request.started_at <= timeout_s
     timer._run()
-    assert response.status == 504 and scene.sidecar.context.open_requests == 0
-    scene.sidecar.close()
+    assert response.status == 504 and harness.sidecar.context.open_requests == 0
+    harness.sidecar.close()
 
 
 @in_event_loop
 async def test_readiness_fails_after_sigterm():
-    scene = Scene()
-    assert (await call(scene.sidecar.readiness, "get", "/-/readiness")).status == 200
-    scene.sidecar.context.leaving = True
-    assert (await call(scene.sidecar.readiness, "get", "/-/readiness")).status == 503
-    scene.sidecar.close()
+    harness = SidecarHarness()
+    assert (await call(harness.sidecar.readiness, "get", "/-/readiness")).status == 200
+    harness.sidecar.context.draining = True
+    assert (await call(harness.sidecar.readiness, "get", "/-/readiness")).status == 503
+    harness.sidecar.close()
 
 
 async def isolated_sidecar():
     """Returns a sidecar without connections whose local server is ready, and the server's heartbeat."""
     made = Sidecar(settings.read(SETTINGS).ok)
     beat = {**BEAT, "service": "berths", "call_seq": 1}
-    assert (await call(made.beats.serve, "put", INSTANCE, beat)).status == 200
+    assert (await call(made.heartbeats.serve, "put", INSTANCE, beat)).status == 200
     assert made.server_queue.open
     return made, beat
 
@@ -70,59 +70,61 @@
 async def test_draining_takes_effect_without_contact_to_controllers():
     made, beat = await isolated_sidecar()
     draining = {**beat, "state": "draining", "call_seq": 5}
-    assert (await call(made.beats.serve, "put", INSTANCE, draining)).status == 200
-    assert not made.server_queue.open and not made.beats.record().is_open
+    assert (await call(made.heartbeats.serve, "put", INSTANCE, draining)).status == 200
+    assert not made.server_queue.open and not made.heartbeats.record().is_open
     late = {**beat, "call_seq": 4}  # sent earlier but received later
-    assert (await call(made.beats.serve, "put", INSTANCE, late)).status == 200
+    assert (await call(made.heartbeats.serve, "put", INSTANCE, late)).status == 200
     assert not made.server_queue.open
 
 
 @in_event_loop
 async def test_a_deleted_instance_gets_no_calls_and_its_late_heartbeats_are_ignored():
     made, beat = await isolated_sidecar()
-    assert (await call(made.beats.serve, "delete", INSTANCE)).status == 200
+    assert (await call(made.heartbeats.serve, "delete", INSTANCE)).status == 200
     assert not made.server_queue.open and not made.server_queue.instance
     for number in (2, 99):
-        assert (await call(made.beats.serve, "put", INSTANCE, {**beat, "call_seq": number})).status == 200
+        assert (
+            await call(made.heartbeats.serve, "put", INSTANCE, {**beat, "call_seq": number})
+        ).status == 200
         assert not made.server_queue.instance
-    made.beats.adopt_instance("i-1")  # an id from a health check is only a hint
+    made.heartbeats.adopt_instance("i-1")  # an id from a health check is only a hint
     assert not made.server_queue.instance
-    assert (await call(made.beats.serve, "put", "/-/instances/i-2", beat)).status == 200
+    assert (await call(made.heartbeats.serve, "put", "/-/instances/i-2", beat)).status == 200
     assert made.server_queue.instance == "i-2", "a new instance is accepted"
 
 
 @in_event_loop
 async def test_a_delete_before_any_heartbeat_takes_effect():
     made = Sidecar(settings.read(SETTINGS).ok)
-    assert (await call(made.beats.serve, "delete", INSTANCE)).status == 200
-    await call(made.beats.serve, "put", INSTANCE, {**BEAT, "service": "berths", "call_seq": 7})
+    assert (await call(made.heartbeats.serve, "delete", INSTANCE)).status == 200
+    await call(made.heartbeats.serve, "put", INSTANCE, {**BEAT, "service": "berths", "call_seq": 7})
     assert not made.server_queue.instance
 
 
 @in_event_loop
 def test_a_request_reaches_no_more_servers_than_its_route_permits():
-    scene = Scene()
-    response = scene.ask("pure")  # two attempts
+    harness = SidecarHarness()
+    response = harness.send_request("pure")  # two attempts
     tried = set()
     for _ in range(2):
-        offer = next(offer for offer in scene.offers() if offer[1] not in tried)
+        offer = next(offer for offer in harness.forwards() if offer[1] not in tried)
         tried.add(offer[1])
-        scene.end(offer, ErrorKind.BROKEN, arrived=True)
-    assert len(scene.offers()) == 2 and response.status == 502
-    scene.sidecar.close()
+        harness.respond(offer, ErrorKind.BROKEN, arrived=True)
+    assert len(harness.forwards()) == 2 and response.status == 502
+    harness.sidecar.close()
 
 
 @in_event_loop
 def test_a_retry_gets_only_the_remaining_time():
-    scene = Scene()
-    scene.ask("pure")
-    (first,) = scene.offers()
-    request = scene.sidecar.forwarder.offers[first[1]].request
+    harness = SidecarHarness()
+    harness.send_request("pure")
+    (first,) = harness.forwards()
+    request = harness.sidecar.forwarder.attempts[first[1]].request
     request.deadline -= 0.5  # as if that much time had passed
-    scene.end(first, ErrorKind.BROKEN)
-    second = next(offer for offer in scene.offers() if offer[1] != first[1])
+    harness.respond(first, ErrorKind.BROKEN)
+    second = next(offer for offer in harness.forwards() if offer[1] != first[1])
     assert second[2][6] <= first[2][6] - 0.5
-    scene.sidecar.close()
+    harness.sidecar.close()
 
 
 def test_the_deadline_header_is_computed_when_the_request_is_written():
@@ -142,9 +144,9 @@
 @in_event_loop
 def test_without_a_configuration_requests_get_a_retriable_error():
     made = Sidecar(settings.read(SETTINGS).ok)
-    scene = object.__new__(Scene)
-    scene.sidecar, scene.links = made, {}
-    response = scene.ask("pure")
+    harness = object.__new__(SidecarHarness)
+    harness.sidecar, harness.connections = made, {}
+    response = harness.send_request("pure")
     assert response.status == 503 and b"Retry-After" in response.headers
     made.close()
 
@@ -152,17 +154,17 @@
 @in_event_loop
 async def test_a_closing_record_is_sent_to_callers_directly_and_others_by_controllers():
     made, beat = await isolated_sidecar()
-    caller, controller = Link("n2"), Link("c1")
+    caller, controller = FakeConnection("n2"), FakeConnection("c1")
     made._callers.add(caller)
-    made.control.links["c1"] = controller
-    made.control.following.controller = "c1"
-    await call(made.beats.serve, "put", INSTANCE, {**beat, "slots": 7, "call_seq": 2})
-    assert not caller.said and not controller.said, "a change of slots alone is not published"
-    await call(made.beats.serve, "put", INSTANCE, {**beat, "state": "draining", "call_seq": 3})
-    assert len(caller.said) == len(controller.said) == 1
-    await call(made.beats.serve, "put", "/-/instances/i-2", {**beat, "call_seq": 1})
-    assert len(caller.said) == 1 and len(controller.said) == 2
-    made.control.following.controller = ""
-    await call(made.beats.serve, "put", "/-/instances/i-3", {**beat, "call_seq": 1})
-    assert len(caller.said) == 2, "without a controller, callers are informed directly"
+    made.control.connections["c1"] = controller
+    made.control.selector.controller = "c1"
+    await call(made.heartbeats.serve, "put", INSTANCE, {**beat, "slots": 7, "call_seq": 2})
+    assert not caller.sent and not controller.sent, "a change of slots alone is not published"
+    await call(made.heartbeats.serve, "put", INSTANCE, {**beat, "state": "draining", "call_seq": 3})
+    assert len(caller.sent) == len(controller.sent) == 1
+    await call(made.heartbeats.serve, "put", "/-/instances/i-2", {**beat, "call_seq": 1})
+    assert len(caller.sent) == 1 and len(controller.sent) == 2
+    made.control.selector.controller = ""
+    await call(made.heartbeats.serve, "put", "/-/instances/i-3", {**beat, "call_seq": 1})
+    assert len(caller.sent) == 2, "without a controller, callers are informed directly"
     made.close()
--- a/tests/mesh/test_mesh_settings.py
+++ b/tests/mesh/test_mesh_settings.py
@@ -146,4 +146,4 @@
 
 @pytest.mark.parametrize(("value", "told"), [("1500ms", 1.5), ("2.5s", 2.5), ("0s", 0.0)])
 def test_times_are_read_in_seconds(value, told):
-    assert settings.seconds(value) == told
+    assert settings.parse_duration(value) == told
--- a/tests/mesh/test_mesh_sidecar.py
+++ b/tests/mesh/test_mesh_sidecar.py
@@ -10,7 +10,7 @@
 from hollyport.http.back import Reply
 from hollyport.http.message import Message
 from mesh import settings
-from mesh.errors import ANSWERS, PROMISES, ErrorKind
+from mesh.errors import ERROR_RESPONSES, NOT_EXECUTED_ERRORS, ErrorKind
 from mesh.proxy.call_runner import classify_reply
 from mesh.proxy.request_age import MIN_SAMPLES
 from mesh.proxy.sidecar import Sidecar
@@ -71,37 +71,37 @@
         self.status, self.body, self.headers = status, body, dict(headers)
 
 
-class Link:
+class FakeConnection:
     """A connection to another sidecar or controller: what was said there."""
 
     def __init__(self, peer=""):
-        self.said, self.peer, self.waits = [], peer, 0
+        self.sent, self.peer, self.waits = [], peer, 0
 
     def expect_answers(self, more):
         self.waits += more
 
     def send(self, message):
-        self.said.append(encode(message))
+        self.sent.append(encode(message))
 
     def send_packed(self, packed):
-        self.said.append(packed)
+        self.sent.append(packed)
 
 
-class Scene:
+class SidecarHarness:
     """One sidecar that knows three others of the service `meals`."""
 
     def __init__(self, version=0, more=""):
         self.sidecar = Sidecar(settings.read(SETTINGS + more).ok)
-        self.sidecar.control.take_items(configuration.parse_change(json.dumps(ITEMS).encode()).ok)
-        self.links = {}
+        self.sidecar.control.apply_items(configuration.parse_change(json.dumps(ITEMS).encode()).ok)
+        self.connections = {}
         for number, zone in enumerate(("east", "west", "south"), 2):
             node = f"n{number}"
             record = [node, f"192.0.2.{number}:7000", zone, "meals", f"i-{number}", 5, True, 0.0, 1, 1]
             self.sidecar.directory.take(SidecarRecord(*record, version))
-            self.links[node] = Link(node)
-            self.sidecar.directory.connected(node, self.links[node])
+            self.connections[node] = FakeConnection(node)
+            self.sidecar.directory.connected(node, self.connections[node])
 
-    def ask(self, variant="pure", headers=(), deadline=b"800", path=None, body=b""):
+    def send_request(self, variant="pure", headers=(), deadline=b"800", path=None, body=b""):
         ear = Ear()
         message = Message(ear)
         message.method, message.target = b"POST", (path or f"/{variant}/x?q=1").encode()
@@ -116,23 +116,23 @@
         ear.message = message
         return ear
 
-    def offers(self):
-        return [(node, said[1], said[2]) for node, link in self.links.items() for said in link.said]
+    def forwards(self):
+        return [(node, said[1], said[2]) for node, link in self.connections.items() for said in link.sent]
 
-    def end(self, offer, fault=0, arrived=True, status=200, body=b"whole"):
+    def respond(self, offer, fault=0, arrived=True, status=200, body=b"whole"):
         headers = [(b"x-server-seal", b"s")]
-        self.sidecar.forwarder.hear_answer(
+        self.sidecar.forwarder.finish_attempt(
             ForwardAnswer(offer[1], int(fault), arrived, status, headers, body)
         )
 
 
-def played(test, version=0, more=""):
+def with_sidecar(test, version=0, more=""):
     """Run a test in a loop: timers are made, none comes due."""
 
     async def play(*args):
-        scene = Scene(version, more)
-        test(scene, *args)
-        scene.sidecar.close()
+        harness = SidecarHarness(version, more)
+        test(harness, *args)
+        harness.sidecar.close()
 
     def run(*args):
         asyncio.run(play(*args))
@@ -144,19 +144,21 @@
 CALLED = (b"x-caller-service", b"forged")
 
 
-@played
-def _offered_once(scene):
-    ear = scene.ask(headers=[CALLED, (b"connection", b"x-own"), (b"x-own", b"1"), (b"x-kept", b"2")])
-    (offer,) = scene.offers()
+@with_sidecar
+def _offered_once(harness):
+    ear = harness.send_request(
+        headers=[CALLED, (b"connection", b"x-own"), (b"x-own", b"1"), (b"x-kept", b"2")]
+    )
+    (offer,) = harness.forwards()
     service, caller, method, target, headers, *_ = offer[2]
     assert (service, caller, method, target) == ("meals", "berths", b"POST", b"/pure/x?q=1")
     names = [name for name, _ in headers]
     assert b"x-kept" in names and b"x-attempt-id" in names
     assert not {b"x-caller-service", b"x-own", b"connection", b"x-deadline-ms"} & set(names)
-    scene.end(offer)
+    harness.respond(offer)
     assert (ear.status, ear.body) == (200, b"whole")
-    assert scene.sidecar.context.open_requests == 0 and all(
-        endpoint.inflight == 0 for endpoint in scene.sidecar.directory.endpoints.values()
+    assert harness.sidecar.context.open_requests == 0 and all(
+        endpoint.in_flight == 0 for endpoint in harness.sidecar.directory.endpoints.values()
     )
 
 
@@ -164,19 +166,19 @@
     _offered_once()
 
 
-@played
-def _after(scene, variant, fault, arrived, again, status):
-    ear = scene.ask(variant)
-    (first,) = scene.offers()
-    scene.end(first, fault, arrived)
-    offers = scene.offers()
+@with_sidecar
+def _after(harness, variant, fault, arrived, again, status):
+    ear = harness.send_request(variant)
+    (first,) = harness.forwards()
+    harness.respond(first, fault, arrived)
+    offers = harness.forwards()
     assert (len(offers) == 2) == again
     if again:
         assert offers[0][0] != offers[1][0], "the same server twice"
         assert ear.status == 0
     else:
         assert ear.status == status
-        assert (b"Retry-After" in ear.headers) == (fault in PROMISES)
+        assert (b"Retry-After" in ear.headers) == (fault in NOT_EXECUTED_ERRORS)
 
 
 @pytest.mark.parametrize(
@@ -202,14 +204,14 @@
     _after(variant, fault, arrived, again, status)
 
 
-@played
-def _broken_hop(scene, variant, again):
-    ear = scene.ask(variant)
-    ((node, _, _),) = scene.offers()
-    scene.sidecar.directory.disconnected(node, scene.links[node])
-    assert len(scene.offers()) == 1 + again
+@with_sidecar
+def _broken_hop(harness, variant, again):
+    ear = harness.send_request(variant)
+    ((node, _, _),) = harness.forwards()
+    harness.sidecar.directory.disconnected(node, harness.connections[node])
+    assert len(harness.forwards()) == 1 + again
     assert ear.status == (0 if again else 502)
-    assert not scene.sidecar.directory.usable(scene.sidecar.directory.endpoints[node])
+    assert not harness.sidecar.directory.usable(harness.sidecar.directory.endpoints[node])
 
 
 @pytest.mark.parametrize(("variant", "again"), [("pure", True), ("effectful", False), ("idempotent", False)])
@@ -217,13 +219,13 @@
     _broken_hop(variant, again)
 
 
-@played
-def _never_a_promise_after_doubt(scene):
-    ear = scene.ask("pure")
-    (first,) = scene.offers()
-    scene.end(first, ErrorKind.BROKEN)
-    second = next(offer for offer in scene.offers() if offer[1] != first[1])
-    scene.end(second, ErrorKind.FULL, False)
+@with_sidecar
+def _never_a_promise_after_doubt(harness):
+    ear = harness.send_request("pure")
+    (first,) = harness.forwards()
+    harness.respond(first, ErrorKind.BROKEN)
+    second = next(offer for offer in harness.forwards() if offer[1] != first[1])
+    harness.respond(second, ErrorKind.FULL, False)
     assert ear.status not in (503, 429, 421, 408)
 
 
@@ -231,38 +233,38 @@
     _never_a_promise_after_doubt()
 
 
-@played
-def _refused_by_all(scene):
-    ear = scene.ask("effectful")
+@with_sidecar
+def _refused_by_all(harness):
+    ear = harness.send_request("effectful")
     seen = set()
     for _ in range(3):
-        offer = next(offer for offer in scene.offers() if offer[1] not in seen)
+        offer = next(offer for offer in harness.forwards() if offer[1] not in seen)
         seen.add(offer[1])
-        scene.end(offer, ErrorKind.FULL, False)
-    assert ear.status == 503 and b"Retry-After" in ear.headers and len(scene.offers()) == 3
+        harness.respond(offer, ErrorKind.FULL, False)
+    assert ear.status == 503 and b"Retry-After" in ear.headers and len(harness.forwards()) == 3
 
 
 def test_refused_by_all_is_told_at_once_with_when_to_come_back():
     _refused_by_all()
 
 
-@played
-def _overdue(scene, variant, offered):
-    ear = scene.ask(variant)
-    (first,) = scene.offers()
-    scene.sidecar.forwarder.hear_overdue(first[1])
-    assert len(scene.offers()) == offered
-    scene.sidecar.forwarder.hear_overdue(first[1])
-    assert len(scene.offers()) == offered, "offered a third time"
+@with_sidecar
+def _overdue(harness, variant, offered):
+    ear = harness.send_request(variant)
+    (first,) = harness.forwards()
+    harness.sidecar.forwarder.hedge_attempt(first[1])
+    assert len(harness.forwards()) == offered
+    harness.sidecar.forwarder.hedge_attempt(first[1])
+    assert len(harness.forwards()) == offered, "offered a third time"
     if offered == 2:
-        second = next(offer for offer in scene.offers() if offer[1] != first[1])
-        scene.end(second, ErrorKind.BROKEN)
+        second = next(offer for offer in harness.forwards() if offer[1] != first[1])
+        harness.respond(second, ErrorKind.BROKEN)
         assert ear.status == 0, "the first may still answer"
-        scene.end(first)
+        harness.respond(first)
         assert ear.status == 200
     else:
-        scene.end(first)
-    assert scene.sidecar.context.open_requests == 0
+        harness.respond(first)
+    assert harness.sidecar.context.open_requests == 0
 
 
 @pytest.mark.parametrize(("variant", "offered"), [("pure", 2), ("effectful", 1), ("idempotent", 1)])
@@ -270,27 +272,27 @@
     _overdue(variant, offered)
 
 
-@played
-def _two_answers(scene):
-    ear = scene.ask("pure")
-    (first,) = scene.offers()
-    scene.sidecar.forwarder.hear_overdue(first[1])
-    for offer in scene.offers():
-        scene.end(offer)
-    assert ear.status == 200 and scene.sidecar.context.open_requests == 0
+@with_sidecar
+def _two_answers(harness):
+    ear = harness.send_request("pure")
+    (first,) = harness.forwards()
+    harness.sidecar.forwarder.hedge_attempt(first[1])
+    for offer in harness.forwards():
+        harness.respond(offer)
+    assert ear.status == 200 and harness.sidecar.context.open_requests == 0
 
 
 def test_of_two_answers_the_first_counts_and_the_other_goes_nowhere():
     _two_answers()
 
 
-@played
-def _past(scene):
+@with_sidecar
+def _past(harness):
     for _ in range(MIN_SAMPLES):
-        scene.ask("pure", deadline=b"800")
-    scene.ask("pure", deadline=b"790")
-    scene.ask("pure", deadline=b"100")
-    told = [offer[2] for offer in sorted(scene.offers(), key=lambda offer: offer[1])[-3:]]
+        harness.send_request("pure", deadline=b"800")
+    harness.send_request("pure", deadline=b"790")
+    harness.send_request("pure", deadline=b"100")
+    told = [offer[2] for offer in sorted(harness.forwards(), key=lambda offer: offer[1])[-3:]]
     assert [(ask[11], ask[13]) for ask in told] == [(False, False), (True, False), (True, True)]
 
 
@@ -298,27 +300,27 @@
     _past()
 
 
-@played
-def _half(scene):
-    ear = scene.ask("pure", deadline=b"800")
-    (first,) = scene.offers()
-    scene.sidecar.forwarder.offers[first[1]].request.offered_until = 0.0  # a fifth of its time is gone
-    scene.end(first, ErrorKind.FULL, False)
-    assert ear.status == 503 and len(scene.offers()) == 1
+@with_sidecar
+def _half(harness):
+    ear = harness.send_request("pure", deadline=b"800")
+    (first,) = harness.forwards()
+    harness.sidecar.forwarder.attempts[first[1]].request.offered_until = 0.0  # a fifth of its time is gone
+    harness.respond(first, ErrorKind.FULL, False)
+    assert ear.status == 503 and len(harness.forwards()) == 1
 
 
 def test_who_was_held_for_long_is_refused_and_not_held_elsewhere():
     _half()
 
 
-@played
-def _keyless(scene):
+@with_sidecar
+def _keyless(harness):
     sent = []
-    sidecar = scene.sidecar
+    sidecar = harness.sidecar
     sidecar.server_queue.update_server("i-1", 5, 0.0, True)
     sidecar.control.key_claims.voters = Voters(1, ("b1", "b2", "b3"))
     call = Call("berths", "c", b"POST", b"/x", [], b"", 1.0, 0.2, b"t", "key", "k")
-    link = Link()
+    link = FakeConnection()
     link.send = sent.append
     sidecar.calls.on_forward(link, Forward(7, call))
     assert [(type(told), told.number, ErrorKind(told.error)) for told in sent] == [
@@ -331,43 +333,43 @@
     _keyless()
 
 
-@played
-def _leaving(scene):
-    scene.sidecar.context.leaving = scene.sidecar.context.closed = True
-    ear = scene.ask("pure")
-    assert ear.status == 503 and b"Retry-After" in ear.headers and not scene.offers()
+@with_sidecar
+def _leaving(harness):
+    harness.sidecar.context.draining = harness.sidecar.context.rejecting_requests = True
+    ear = harness.send_request("pure")
+    assert ear.status == 503 and b"Retry-After" in ear.headers and not harness.forwards()
 
 
 def test_a_sidecar_that_closes_refuses_at_once_what_still_comes():
     _leaving()
 
 
-@played
-def _strange(scene):
-    assert scene.ask(path="/other/x").status == 404
-    assert scene.ask(deadline=b"soon").status == 400
-    record = replace(scene.sidecar.directory.records["n2"], is_open=False, number=2)
+@with_sidecar
+def _strange(harness):
+    assert harness.send_request(path="/other/x").status == 404
+    assert harness.send_request(deadline=b"soon").status == 400
+    record = replace(harness.sidecar.directory.records["n2"], is_open=False, number=2)
     for node in ("n3", "n4"):
-        scene.sidecar.directory.disconnected(node, scene.links[node])
-    scene.sidecar.hear(scene.links["n2"], RecordChanged(record))
-    assert scene.ask().status == 503
+        harness.sidecar.directory.disconnected(node, harness.connections[node])
+    harness.sidecar.on_message(harness.connections["n2"], RecordChanged(record))
+    assert harness.send_request().status == 503
     old = replace(record, is_open=True, number=1)
-    scene.sidecar.hear(scene.links["n2"], Endpoints((old,)))
-    assert scene.ask().status == 503, "an older record came back"
+    harness.sidecar.on_message(harness.connections["n2"], Endpoints((old,)))
+    assert harness.send_request().status == 503, "an older record came back"
 
 
 def test_no_route_a_bad_deadline_and_no_server_are_told_at_once_and_old_records_change_nothing():
     _strange()
 
 
-@played
-def _versions(scene, ask, left_out):
-    sidecar = scene.sidecar
+@with_sidecar
+def _versions(harness, ask, left_out):
+    sidecar = harness.sidecar
     sidecar.server_queue.update_server("i-1", 5, 0.0, True)
     sent = []
     sidecar.server_queue.submit = sent.append
     row = [*ask[:left_out], *([False, 0, 0, "more"] if left_out is None else [])]
-    sidecar.hear(Link(), message(kind_of(Forward), 1, row))
+    sidecar.on_message(FakeConnection(), message(kind_of(Forward), 1, row))
     assert len(sent) == 1 and sent[0].on_overdue is None
 
 
@@ -396,6 +398,6 @@
 
 
 def test_each_kind_of_fault_has_an_answer_and_promises_are_statuses_that_promise():
-    assert set(ANSWERS) == set(ErrorKind)
-    for kind, answer in ANSWERS.items():
-        assert answer.promise == (answer.status in (503, 429, 421, 408)), kind
+    assert set(ERROR_RESPONSES) == set(ErrorKind)
+    for kind, answer in ERROR_RESPONSES.items():
+        assert answer.not_executed == (answer.status in (503, 429, 421, 408)), kind
--- a/tests/mesh/test_mesh_subset.py
+++ b/tests/mesh/test_mesh_subset.py
@@ -8,8 +8,8 @@
 
 import pytest
 from msgspec.structs import replace
-from test_mesh_sidecar import Link
-from test_mesh_sidecar import played as played_in_a_scene
+from test_mesh_sidecar import FakeConnection
+from test_mesh_sidecar import with_sidecar as with_sidecar_of_version
 
 from mesh.proxy import directory as directory_module
 from mesh.proxy import subset as subset_module
@@ -29,7 +29,7 @@
 from mesh.transport.messages import LoadQuery, SidecarRecord, kind_of
 
 ZONES = ("east", "west", "south")
-played = partial(played_in_a_scene, version=2)
+with_sidecar = partial(with_sidecar_of_version, version=2)
 
 
 def server(number, zone=None):
@@ -161,9 +161,9 @@
 class Clock:
     """The time that a directory is told."""
 
-    def __init__(self, scene):
-        self.time = scene.sidecar.context.now()
-        scene.sidecar.context.now = lambda: self.time
+    def __init__(self, harness):
+        self.time = harness.sidecar.context.now()
+        harness.sidecar.context.now = lambda: self.time
 
 
 class Dials:
@@ -184,12 +184,12 @@
         monkeypatch.setattr(directory_module, "Dialer", Stub)
 
     def connect(self, directory, besides=()):
-        for node in self.open - set(directory.links) - set(besides):
-            directory.connected(node, Link(node))
+        for node in self.open - set(directory.connections) - set(besides):
+            directory.connected(node, FakeConnection(node))
 
     def break_off(self, directory, nodes):
         for node in nodes:
-            directory.disconnected(node, directory.links[node])
+            directory.disconnected(node, directory.connections[node])
 
 
 @pytest.fixture
@@ -197,13 +197,13 @@
     return Dials(monkeypatch)
 
 
-@played
-def _many(scene, dials):
-    directory = scene.sidecar.directory
-    directory.take_all(records(200))
+@with_sidecar
+def _many(harness, dials):
+    directory = harness.sidecar.directory
+    directory.apply_records(records(200))
     assert len(dials.open) >= SIZE
     dials.connect(directory)
-    clock = Clock(scene)
+    clock = Clock(harness)
     clock.time += directory_module.LINGER_S
     directory._look()
     assert dials.open == {one.node for one in directory.of_service("meals")} and len(dials.open) == SIZE
@@ -214,22 +214,22 @@
     _many(dials)
 
 
-@played
-def _under_way(scene, dials):
-    directory = scene.sidecar.directory
-    directory.take_all(records(60))
+@with_sidecar
+def _under_way(harness, dials):
+    directory = harness.sidecar.directory
+    directory.apply_records(records(60))
     dials.connect(directory)
-    clock = Clock(scene)
+    clock = Clock(harness)
     directory._look()
-    busy = next(one for one in directory.endpoints.values() if one.node in directory.links)
-    busy.inflight = 1
+    busy = next(one for one in directory.endpoints.values() if one.node in directory.connections)
+    busy.in_flight = 1
     record = directory.records[busy.node]
     directory.take(replace(record, is_open=False, number=record.number + 1))
     assert busy not in directory.of_service("meals")
     clock.time += 10 * directory_module.LINGER_S
     directory._look()
     assert busy.node in dials.open, "an answer is still to come there"
-    busy.inflight = 0
+    busy.in_flight = 0
     directory._look()
     assert busy.node not in dials.open
 
@@ -238,10 +238,10 @@
     _under_way(dials)
 
 
-@played
-def _lost(scene, dials):
-    directory, clock = scene.sidecar.directory, Clock(scene)
-    directory.take_all(records(200))
+@with_sidecar
+def _lost(harness, dials):
+    directory, clock = harness.sidecar.directory, Clock(harness)
+    directory.apply_records(records(200))
     dials.connect(directory)
     directory._look()
     before = set(dials.open)
@@ -259,24 +259,24 @@
     _lost(dials)
 
 
-@played
-def _draw_widens(scene, dials):
-    directory, clock = scene.sidecar.directory, Clock(scene)
-    directory.take_all(records(200))
+@with_sidecar
+def _draw_widens(harness, dials):
+    directory, clock = harness.sidecar.directory, Clock(harness)
+    directory.apply_records(records(200))
     dials.connect(directory)
     clock.time += directory_module.LINGER_S
     directory._look()
     before = len(dials.open)
     for endpoint in directory.of_service("meals"):
         endpoint.closed_until = clock.time + 1.0
-    scene.ask("pure")
+    harness.send_request("pure")
     assert len(dials.open) == 2 * before, "its part is full: others are connected"
     dials.connect(directory)
-    scene.ask("pure")
+    harness.send_request("pure")
     asked = [
         node
-        for node, link in directory.links.items()
-        if any(said[0] == kind_of(LoadQuery) for said in link.said)
+        for node, link in directory.connections.items()
+        if any(said[0] == kind_of(LoadQuery) for said in link.sent)
     ]
     assert len(asked) == 2 and all(directory.endpoints[node].closed_until < clock.time for node in asked)
 
--- a/tests/mesh/test_mesh_voters.py
+++ b/tests/mesh/test_mesh_voters.py
@@ -363,7 +363,7 @@
             run_scenario(one_spare(seed), replace_lost_voter)
 
 
-take_voters = ControlClient.take_voters
+take_voters = ControlClient.apply_voters
 
 
 async def late_claim_across_epochs(world: World) -> None:
@@ -405,10 +405,10 @@
     if not sidecar_asks_anew:
         monkeypatch.setattr(
             ControlClient,
-            "take_voters",
+            "apply_voters",
             lambda control, voters: (
                 (None if control.key_claims.voters.epoch else take_voters(control, voters))
-                if control._context.me == "10.0.1.1"
+                if control._context.node_name == "10.0.1.1"
                 else take_voters(control, voters)
             ),
         )
@@ -532,14 +532,14 @@
         process.soon(lambda: controller.hear(next(iter(controller.peers.connections.values())), old))
         sidecar = world.machines[world.sidecars[0]].process
         assert sidecar is not None
-        links = sidecar.role.control.links.values()
+        links = sidecar.role.control.connections.values()
         sidecar.soon(
-            lambda: sidecar.role.hear(
+            lambda: sidecar.role.on_message(
                 next(iter(links)), message(kind_of(messages.CurrentVoters), 1, sorted(lost))
             )
         )
         sidecar.soon(
-            lambda: sidecar.role.hear(
+            lambda: sidecar.role.on_message(
                 next(iter(links)),
                 message(kind_of(messages.Controllers), sorted(lost), "", dict.fromkeys(lost, 1), {}),
             )
@@ -600,7 +600,7 @@
         await asyncio.sleep(6.0)
         assert all(far in controller.peers.connections for controller in found)
         assert all(
-            far in world.machines[name].process.role.control.links  # type: ignore[union-attr]
+            far in world.machines[name].process.role.control.connections  # type: ignore[union-attr]
             for name in world.sidecars
         )
 
