--- a/mesh/control/peers.py
+++ b/mesh/control/peers.py
@@ -159,12 +159,12 @@
         """Handles the report of another controller about itself, the voters and the controllers it knows."""
         address, incarnation = hello.address, hello.incarnations.get(hello.address, 0)
         self.epochs[address], self.zones[address] = hello.voters.epoch, hello.zone
-        if hello.whole != self.caught_up_epochs.get(address) and address in self.connections:
+        if hello.caught_up_epoch != self.caught_up_epochs.get(address) and address in self.connections:
             self._events.check_peers([self.connections[address]])
-        self.caught_up_epochs[address] = hello.whole
-        if hello.whole == 1 and not hello.voters.epoch:
+        self.caught_up_epochs[address] = hello.caught_up_epoch
+        if hello.caught_up_epoch == 1 and not hello.voters.epoch:
             self.caught_up_without_voters.add(address)
-        (self._legacy.add if hello.whole < 0 else self._legacy.discard)(address)
+        (self._legacy.add if hello.caught_up_epoch < 0 else self._legacy.discard)(address)
         forgotten = self._forgotten.get(address, -1)
         if incarnation <= forgotten:
             link.send(Forgotten(forgotten))
--- a/mesh/transport/messages.py
+++ b/mesh/transport/messages.py
@@ -166,7 +166,10 @@
 
 
 class Pull(Message, frozen=True, tag=16):
-    """Sidecar to controller: requests the items it lacks, by bucket digests (see `distribution.ConfigurationCopy`)."""
+    """Sidecar to controller: requests the items it lacks, by bucket digests.
+
+    See `distribution.ConfigurationCopy`.
+    """
 
     buckets: bytes
 
--- a/tests/mesh/mesh_world.py
+++ b/tests/mesh/mesh_world.py
@@ -39,7 +39,7 @@
 from mesh.control.controller import Controller
 from mesh.errors import ErrorKind
 from mesh.proxy import context as proxy_context
-from mesh.proxy import control_client, directory, server_beats
+from mesh.proxy import control_client, directory, server_heartbeats
 from mesh.proxy import sidecar as sidecars
 from mesh.proxy.sidecar import Sidecar
 from mesh.state import configuration
@@ -144,7 +144,7 @@
             self._patch.setattr(module, "random", self.random)
         log = Log(self)
         control = (agreement, controllers, elections, heartbeats, peers, recovery, connection)
-        proxy = (control_client, directory, server_beats, sidecars)
+        proxy = (control_client, directory, server_heartbeats, sidecars)
         for module in (*control, *proxy):
             self._patch.setattr(module, "logger", log)
         count = iter(range(1 << 30))  # gives sets of connections the same order in every run
--- a/verify/parts.py
+++ b/verify/parts.py
@@ -21,7 +21,7 @@
 from mesh.state.idempotency import Claim, Registry
 from mesh.state.quorum import Voters
 
-# `mesh.proxy.key_claims.ROUND_TIMEOUT_S` and `mesh.control.context.CLAIM_TIMEOUT_S`: a test holds them together
+# `mesh.proxy.key_claims.ROUND_TIMEOUT_S` and `mesh.control.context.CLAIM_TIMEOUT_S`; a test compares them
 CLAIM_S = 1.0
 TICK_S = 0.55  # a step of time: a round may last one of these, and a wiped controller waits for two
 
