--- a/tests/mesh/test_mesh_rounds.py
+++ b/tests/mesh/test_mesh_rounds.py
@@ -562,7 +562,7 @@
 
     def done(keys: Registry, now: float, key: str, token: str, answer: Any) -> bool:
         grant = keys.get(now, key)
-        expires = grant.expires if grant is not None else now + keys._window
+        expires = grant.expires_at if grant is not None else now + keys._window
         keys._grants[key] = Grant(token, OperationStatus.DONE, now, expires, answer)
         return True
 
